--- a/src/admission/admission-queue.ts
+++ b/src/admission/admission-queue.ts
@@ -1,51 +1,50 @@
 /**
- * Requests that wait for a slot of one endpoint: the most urgent rank first, within a rank one
- * caller's node after the other. Pure.
+ * Queue of the requests waiting for a slot of one endpoint. Lower ranks are dequeued first; within a rank, the
+ * callers' nodes are served round robin. Pure.
  */
 
-/** A request that asks for a slot. */
+/** A request for a slot. */
 export interface AdmissionTicket {
   readonly requestId: string;
-  /** Machine identity of the caller's node: slots are shared fairly among these. */
+  /** Machine identity of the caller's node; slots are shared fairly among nodes. */
   readonly callerNode: string;
   readonly deadlineAtMs: number;
-  /** Rank; 0, the default, goes first. */
+  /** Rank; 0, the default, is the most urgent. */
   readonly priority?: number;
-  /** Requests of one class take about equally long. */
+  /** Class of work; requests of one class have similar service times. */
   readonly workClass?: string;
-  /** Until when the answer should be there; the deadline when absent. */
+  /** Time by which the response should have arrived; the deadline when absent. */
   readonly targetAtMs?: number | undefined;
-  /** Until when the request waits for a slot; while it can still be in time if absent. */
+  /** Latest time at which the request may start; when absent, it waits as long as it can finish in time. */
   readonly startByMs?: number | undefined;
 }
 
-/** Tickets of one rank by caller's node, the nodes in the order of their turns. */
-type Rank = Map<string, AdmissionTicket[]>;
+/** Tickets of one rank by caller's node, in round-robin order. */
+type RankQueues = Map<string, AdmissionTicket[]>;
 
-/** Where a ticket can be taken out for another one. */
+/** The queue from which a ticket can be displaced. */
 interface Displaceable {
   readonly rank: number;
-  readonly queues: Rank;
+  readonly queues: RankQueues;
   readonly tickets: AdmissionTicket[];
 }
 
-/** The rank of a ticket. */
 export function rankOf({ priority = 0 }: AdmissionTicket): number {
   return priority;
 }
 
-/** The queue. */
+/** Priority queue of one endpoint. */
 export class AdmissionQueue {
-  private readonly ranks = new Map<number, Rank>();
+  private readonly ranks = new Map<number, RankQueues>();
   private count = 0;
 
-  /** Requests that wait. */
+  /** Number of queued requests. */
   get size(): number {
     return this.count;
   }
 
-  /** Requests that wait and are at least as urgent as `rank`. */
-  countUpTo(rank: number): number {
+  /** Number of queued requests that are at least as urgent as `rank`. */
+  countAtLeastAsUrgent(rank: number): number {
     let count = 0;
     for (const [other, queues] of this.ranks) {
       if (other <= rank) {
@@ -57,10 +56,10 @@
     return count;
   }
 
-  /** Puts a ticket at the end of its node's requests of its rank. */
-  push(ticket: AdmissionTicket): void {
+  /** Appends a ticket to the queue of its rank and node. */
+  enqueue(ticket: AdmissionTicket): void {
     const rank = rankOf(ticket);
-    const queues: Rank = this.ranks.get(rank) ?? new Map<string, AdmissionTicket[]>();
+    const queues: RankQueues = this.ranks.get(rank) ?? new Map<string, AdmissionTicket[]>();
     const tickets = queues.get(ticket.callerNode) ?? [];
     tickets.push(ticket);
     queues.set(ticket.callerNode, tickets);
@@ -68,8 +67,8 @@
     this.count += 1;
   }
 
-  /** Takes the next ticket; the node whose turn it was goes to the end of its rank. */
-  takeNext(): AdmissionTicket | undefined {
+  /** Removes and returns the next ticket; its node moves to the end of the round-robin order. */
+  dequeue(): AdmissionTicket | undefined {
     const rank = this.extremeRank(Math.min);
     const queues = rank === undefined ? undefined : this.ranks.get(rank);
     const [first] = queues ?? [];
@@ -87,7 +86,7 @@
     return ticket;
   }
 
-  /** Takes a ticket out; false when it does not wait. */
+  /** Removes a ticket; false when it is not queued. */
   remove(requestId: string, callerNode: string): boolean {
     for (const [rank, queues] of this.ranks) {
       const tickets = queues.get(callerNode);
@@ -102,7 +101,7 @@
     return false;
   }
 
-  /** Takes all tickets out. */
+  /** Removes and returns all tickets. */
   removeAll(): AdmissionTicket[] {
     const tickets = [...this.ranks.values()].flatMap((queues) => [...queues.values()].flat());
     this.ranks.clear();
@@ -110,15 +109,18 @@
     return tickets;
   }
 
-  /** Whether a ticket of the same rank would have to make room for `ticket` after `ahead` others. */
-  canDisplacePeerFor(ticket: AdmissionTicket, ahead: number): boolean {
-    const found = this.displaceableBy(ticket, ahead);
+  /**
+   * Whether `ticket` would displace a ticket of its own rank when its node has `reservedAhead` reservations
+   * besides its queued tickets.
+   */
+  canDisplacePeerFor(ticket: AdmissionTicket, reservedAhead: number): boolean {
+    const found = this.displaceableBy(ticket, reservedAhead);
     return found?.rank === rankOf(ticket);
   }
 
   /**
-   * Takes out the newest ticket that has to make room for `ticket`: one of a less urgent rank, or of
-   * the node that has the most tickets of the same rank.
+   * Removes and returns the newest ticket that `ticket` displaces: one of a less urgent rank, or one of the
+   * node with the most tickets of the same rank.
    */
   displaceFor(ticket: AdmissionTicket): AdmissionTicket | undefined {
     const found = this.displaceableBy(ticket);
@@ -131,20 +133,20 @@
   }
 
   /**
-   * The tickets of which the last has to make room for `ticket`, whose node counts as having `ahead` tickets
-   * more; never empty.
+   * The tickets of which `ticket` displaces the last; never empty. The node of `ticket` counts as having
+   * `reservedAhead` more tickets than are queued.
    */
-  private displaceableBy(ticket: AdmissionTicket, ahead = 0): Displaceable | undefined {
+  private displaceableBy(ticket: AdmissionTicket, reservedAhead = 0): Displaceable | undefined {
     const rank = this.extremeRank(Math.max);
     const queues = rank === undefined ? undefined : this.ranks.get(rank);
     if (queues === undefined || rank === undefined || rank < rankOf(ticket)) {
       return undefined;
     }
     let tickets: AdmissionTicket[] = [];
-    for (const others of queues.values()) {
-      tickets = others.length > tickets.length ? others : tickets;
+    for (const nodeTickets of queues.values()) {
+      tickets = nodeTickets.length > tickets.length ? nodeTickets : tickets;
     }
-    const ownLength = ahead + (queues.get(ticket.callerNode)?.length ?? 0);
+    const ownLength = reservedAhead + (queues.get(ticket.callerNode)?.length ?? 0);
     const isLessUrgent = rank > rankOf(ticket);
     return isLessUrgent || tickets.length > ownLength + 1 ? { rank, queues, tickets } : undefined;
   }
@@ -153,14 +155,14 @@
     return this.ranks.size === 0 ? undefined : pick(...this.ranks.keys());
   }
 
-  private dropEmptyNode(rank: number, queues: Rank, callerNode: string): void {
+  private dropEmptyNode(rank: number, queues: RankQueues, callerNode: string): void {
     if (queues.get(callerNode)?.length === 0) {
       queues.delete(callerNode);
     }
     this.dropEmptyRank(rank, queues);
   }
 
-  private dropEmptyRank(rank: number, queues: Rank): void {
+  private dropEmptyRank(rank: number, queues: RankQueues): void {
     if (queues.size === 0) {
       this.ranks.delete(rank);
     }
--- a/src/admission/endpoint-admission.ts
+++ b/src/admission/endpoint-admission.ts
@@ -1,125 +1,125 @@
 /**
- * Admission to one endpoint, at the one node that owns its slots: at most `slots` requests run at
- * once; a short queue waits for them, by rank and fair among the callers' nodes; a request that can't
- * finish in time is refused at once. Pure: time is passed in.
+ * Admission control for one endpoint, at the node that owns its slots. At most `slots` requests run
+ * concurrently; a short queue orders waiting requests by rank, with fairness among the callers' nodes; a request
+ * that cannot finish in time is refused immediately. Pure: time is passed in.
  */
-import { ColdMeter } from './cold-meter.js';
+import { ColdStartLimiter } from './cold-start-limiter.js';
 import { AdmissionQueue, rankOf, type AdmissionTicket } from './admission-queue.js';
 import { ServiceTimes } from './service-times.js';
-import { isLateRank, rankInTime } from './work-rank.js';
+import { isLateRank, onTimeRank } from './work-rank.js';
 
 export type { AdmissionTicket } from './admission-queue.js';
 
-/** Requests that may wait, as a multiple of the slots, where nothing else is said. */
+/** Default queue capacity per slot. */
 export const DEFAULT_QUEUED_PER_SLOT = 2;
-/** What is left of the limit after the endpoint refused. */
+/** Factor by which a refusal by the endpoint reduces the concurrency limit. */
 const REFUSAL_FACTOR = 0.9;
-/** Requests by which a report may differ from the count here, since both are on the way. */
+/** Requests by which a load report may exceed the local count, since both change while messages are in transit. */
 const REPORT_TOLERANCE = 1;
-/** Time for which what an endpoint reported of its load counts, in milliseconds. */
+/** Time for which an endpoint's load report is valid, in milliseconds. */
 const REPORT_LIFETIME_MS = 500;
-/** Least time after which a refused caller is told to come back, in milliseconds. */
+/** Minimum retry delay returned with a refusal, in milliseconds. */
 const MIN_RETRY_AFTER_MS = 50;
 /**
- * The same where the endpoint has no slots, so that no pace tells it, in milliseconds: as for other refusals
- * that know no time.
+ * Retry delay returned when the endpoint has no slots, so that none can be estimated, in milliseconds. Equals the
+ * default of other refusals without an estimate.
  */
 const NO_SLOT_RETRY_AFTER_MS = 1_000;
 
 /**
- * Work that takes less than this part of the endpoint's mean is short: it holds the others up for little, and its
- * caller may hold a slot of another endpoint meanwhile.
+ * Work whose service time is below this share of the endpoint's mean is short: it delays other requests little, and
+ * its caller may occupy a slot of another endpoint in the meantime.
  */
-const SHORT_WORK_PART = 0.6;
-/** Late work waits for this many times the expected wait at most. */
+const SHORT_WORK_RATIO = 0.6;
+/** Maximum wait of late work, as a multiple of the expected wait. */
 const LATE_WAIT_FACTOR = 3;
 
-/** Why a request is refused. Each is decided before the request is sent. */
+/** Why a request is refused; always decided before the request is sent. */
 export type RefusalReason =
   'queue-full' | 'cannot-finish-in-time' | 'deadline-passed' | ClosedReason;
 
 /**
- * Why an endpoint takes no new work.
+ * Why an endpoint accepts no new requests.
  *
- * - `draining`: it is about to end.
- * - `evacuated`: its zone gets none for a while.
+ * - `draining`: it is shutting down.
+ * - `evacuated`: its zone temporarily receives no traffic.
  */
 export type ClosedReason = 'draining' | 'evacuated';
 
-/** A request that is refused, and when to come back. */
+/** The refusal of a request, with the delay before a retry. */
 export interface Refusal {
   readonly requestId: string;
   readonly reason: RefusalReason;
   readonly retryAfterMs: number;
 }
 
-/** When the body of a request is expected, at the pace of the bodies before it. */
+/** When the body of a request is expected, estimated from the transfer rate of earlier bodies. */
 export interface BodyArrival {
   readonly beginsAtMs: number;
   readonly endsAtMs: number;
 }
 
-/** What is to be done with a request. */
+/** An action that the caller of {@link EndpointAdmission} carries out for a request. */
 export type AdmissionEffect =
   | { readonly type: 'dispatch'; readonly requestId: string }
   | ({ readonly type: 'refuse' } & Refusal);
 
-/** The slots and the queue of one endpoint. */
+/** Slots and queue of one endpoint. */
 export class EndpointAdmission {
   private readonly queue = new AdmissionQueue();
-  /** Classes of the requests that run. */
+  /** Work classes of the running requests, by request id. */
   private readonly running = new Map<string, string | undefined>();
-  /** Ranks of the requests whose bodies are on their way, and that have a place in the queue or a slot. */
+  /** Ranks of the requests that hold a reservation while their bodies are in transit, by request id. */
   private readonly reserved = new Map<string, number>();
   private readonly serviceTimes = new ServiceTimes();
   private closedFor: ClosedReason | undefined;
-  /** Requests at the endpoint that are not counted here, by its last report. */
-  private hidden = 0;
+  /** Requests in flight at the endpoint, according to its last report, that this node does not count. */
+  private unaccountedInFlight = 0;
   private reportedAtMs = -Infinity;
 
-  /** Requests that may run at once: at most the slots, fewer while the endpoint refuses. */
+  /** Concurrency limit: at most the slots, lower while the endpoint refuses requests. */
   private limit: number;
 
-  /** `maxWaiting` bounds the queue besides the slots, of which each counts `queuedPerSlot` times. */
+  /** The queue holds at most `maxWaiting` requests, and at most `queuedPerSlot` for each slot. */
   constructor(
     private slots: number,
     private readonly maxWaiting = Infinity,
     private readonly queuedPerSlot = DEFAULT_QUEUED_PER_SLOT,
-    private readonly meter = new ColdMeter(-Infinity),
+    private readonly coldStartLimiter = new ColdStartLimiter(-Infinity),
   ) {
     this.limit = slots;
   }
 
-  /** Requests that run. */
+  /** Number of running requests. */
   get runningCount(): number {
     return this.running.size;
   }
 
-  /** Requests that wait. */
+  /** Number of queued requests. */
   get waitingCount(): number {
     return this.queue.size;
   }
 
-  /** Why new work is refused; undefined while it is taken. */
+  /** Why new requests are refused; undefined while they are accepted. */
   get closedReason(): ClosedReason | undefined {
     return this.closedFor;
   }
 
-  /** Mean time that the endpoint takes for a class of work; undefined before a measurement. */
+  /** Mean service time of a class of work; undefined before the first measurement. */
   serviceMs(workClass: string): number | undefined {
     return this.serviceTimes.measuredMs(workClass);
   }
 
-  /** Until when a request may wait for a slot. */
+  /** Latest time at which the request may start. */
   latestStartAtMs(offered: AdmissionTicket, nowMs: number): number {
-    const ticket = this.withLateTerms(offered, nowMs);
+    const ticket = this.applyLateWorkRules(offered, nowMs);
     const { startByMs = Infinity } = ticket;
     return Math.min(startByMs, this.lastUsefulStartMs(ticket));
   }
 
   /**
-   * Takes a change of the endpoint's slots; running requests are left alone. Without slots, what waits
-   * still runs, one at a time, and new requests are refused.
+   * Changes the number of slots; running requests are not affected. With 0 slots, queued requests still run,
+   * one at a time, and new requests are refused.
    */
   setSlots(slots: number, nowMs: number): AdmissionEffect[] {
     this.slots = slots;
@@ -127,7 +127,7 @@
     return this.fillSlots(nowMs);
   }
 
-  /** Takes no new work while there is a reason; what waits has not started and is refused. */
+  /** Refuses new requests and queued ones, which have not started, for `reason`; without one, accepts requests. */
   close(reason: ClosedReason | undefined, nowMs: number): AdmissionEffect[] {
     this.closedFor = reason;
     if (reason === undefined) {
@@ -137,48 +137,51 @@
   }
 
   /**
-   * Time until something may be sent that waits for the sake of a cold endpoint, to call {@link resume}
-   * then; undefined when nothing does.
+   * Time until a request that is queued because of the cold-start limit may be sent, at which to call
+   * {@link resume}; undefined when there is none.
    */
-  resumesInMs(nowMs: number): number | undefined {
-    const isHeld = this.queue.size > 0 && this.meter.roomAt(nowMs) === 0;
-    return isHeld ? this.meter.untilRoomMs(nowMs) : undefined;
+  resumeDelayMs(nowMs: number): number | undefined {
+    const isRateLimited = this.queue.size > 0 && this.coldStartLimiter.availableAt(nowMs) === 0;
+    return isRateLimited ? this.coldStartLimiter.nextAvailableInMs(nowMs) : undefined;
   }
 
-  /** Sends what may be sent by now. */
+  /** Dispatches queued requests as far as the limits allow. */
   resume(nowMs: number): AdmissionEffect[] {
     return this.fillSlots(nowMs);
   }
 
   /**
-   * The endpoint refused a request that it was sent: it has less room than its slots say, or others
-   * use it too. The limit falls by a part, and rises again by one with each full round of answers.
+   * Records that the endpoint refused a request that was sent to it: its capacity is below its slots, or other
+   * clients use it too. Multiplies the limit by {@link REFUSAL_FACTOR}; the limit grows by one again with each
+   * limit's worth of responses.
    */
   endpointRefused(): void {
     this.limit = Math.max(1, this.limit * REFUSAL_FACTOR);
   }
 
   /**
-   * The endpoint told how many requests run or wait there. What is not of this node, such as requests
-   * whose connections were closed and that it goes on with, takes slots too.
+   * Records the number of requests that run or wait at the endpoint according to its report. Requests that this
+   * node does not count occupy slots too, for example those that the endpoint still processes after their
+   * connections were closed.
    */
   endpointReported(inFlight: number, nowMs: number): void {
-    this.hidden = Math.max(0, inFlight - this.running.size - REPORT_TOLERANCE);
+    this.unaccountedInFlight = Math.max(0, inFlight - this.running.size - REPORT_TOLERANCE);
     this.reportedAtMs = nowMs;
   }
 
   /**
-   * A request arrives whose body is still to come. It is refused as it would be once its body is here, by
-   * when that is foreseen, or gets a place that is kept until it is offered, or given up. What may not
-   * wait for a slot may not wait for its body to begin either.
+   * Decides on a request whose body has yet to arrive. Applies the rules of {@link offer} as of the expected
+   * arrival of the body; if it passes, reserves a slot or a place in the queue until the request is offered or
+   * {@link unreserve} is called. A request that may not wait for a slot may not wait for its body to begin either.
    */
   reserve(ticket: AdmissionTicket, arrival: BodyArrival, nowMs: number): Refusal | undefined {
     const { beginsAtMs, endsAtMs } = arrival;
     if (beginsAtMs > nowMs && beginsAtMs > (ticket.startByMs ?? Infinity)) {
       return this.refusal(ticket, 'cannot-finish-in-time', nowMs, beginsAtMs - nowMs);
     }
-    const offered = this.withoutMissedTarget(this.withLateTerms(ticket, nowMs), nowMs);
-    const reason = this.refusalOf(offered, endsAtMs) ?? this.lackOfRoom(offered, nowMs);
+    const offered = this.withoutMissedTarget(this.applyLateWorkRules(ticket, nowMs), nowMs);
+    const reason =
+      this.refusalReasonFor(offered, endsAtMs) ?? this.queueFullReasonFor(offered, nowMs);
     if (reason === undefined) {
       this.reserved.set(ticket.requestId, rankOf(ticket));
       return undefined;
@@ -186,35 +189,36 @@
     return this.refusal(ticket, reason, nowMs, endsAtMs - this.latestStartAtMs(offered, nowMs));
   }
 
-  /** The place that was kept for a request is free. */
+  /** Releases the reservation of a request. */
   unreserve(requestId: string): void {
     this.reserved.delete(requestId);
   }
 
-  /** The places that are kept for bodies are kept at `next` from now on. */
-  handOverPlaces(next: EndpointAdmission): void {
+  /** Moves all reservations to `next`. */
+  transferReservations(next: EndpointAdmission): void {
     this.reserved.forEach((rank, requestId) => next.reserved.set(requestId, rank));
     this.reserved.clear();
   }
 
-  /** A request arrives. */
+  /** Dispatches, queues or refuses a request that has arrived. */
   offer(offered: AdmissionTicket, nowMs: number): AdmissionEffect[] {
-    const hadPlace = this.reserved.delete(offered.requestId);
-    const ticket = this.withoutMissedTarget(this.withLateTerms(offered, nowMs), nowMs);
-    const hasPlace = hadPlace || this.hasFreeSlot(nowMs);
+    const hadReservation = this.reserved.delete(offered.requestId);
+    const ticket = this.withoutMissedTarget(this.applyLateWorkRules(offered, nowMs), nowMs);
+    const hasCapacity = hadReservation || this.hasFreeSlot(nowMs);
     const reason =
-      this.refusalOf(ticket, nowMs) ?? (hasPlace ? undefined : this.lackOfRoom(ticket, nowMs));
+      this.refusalReasonFor(ticket, nowMs) ??
+      (hasCapacity ? undefined : this.queueFullReasonFor(ticket, nowMs));
     if (reason !== undefined) {
       return [this.refuse(ticket, reason, nowMs)];
     }
     const displaced = this.displaceFor(ticket, nowMs);
-    this.queue.push(ticket);
+    this.queue.enqueue(ticket);
     return [...displaced, ...this.fillSlots(nowMs)];
   }
 
   /**
-   * A dispatched request no longer occupies the endpoint. `serviceMs` is given when it was answered,
-   * as a measurement of the endpoint's pace.
+   * Frees the slot of a dispatched request. `serviceMs` is its measured service time, given only when it was
+   * answered.
    */
   release(requestId: string, nowMs: number, serviceMs?: number): AdmissionEffect[] {
     const workClass = this.running.get(requestId);
@@ -228,31 +232,31 @@
     return this.fillSlots(nowMs);
   }
 
-  /** A request of the class was given up, `elapsedMs` after it was sent, without an answer. */
-  unfinished(workClass: string, elapsedMs: number): void {
+  /** Records a request of the class that was abandoned without a response, `elapsedMs` after it was sent. */
+  recordUnfinished(workClass: string, elapsedMs: number): void {
     this.serviceTimes.measureUnfinished(workClass, elapsedMs);
   }
 
-  /** Whether a waiting request was taken out: its caller gave up, and it will not be dispatched. */
+  /** Removes a queued request whose caller has given up; false when it is not queued. */
   withdraw(requestId: string, callerNode: string): boolean {
     return this.queue.remove(requestId, callerNode);
   }
 
-  /** At least one request may run, so that the next report comes. */
+  /** Current concurrency limit. At least one request may run, so that the next load report arrives. */
   private limitAt(nowMs: number): number {
     const isRecent = nowMs - this.reportedAtMs < REPORT_LIFETIME_MS;
-    const limit = Math.max(1, Math.floor(this.limit) - (isRecent ? this.hidden : 0));
-    return Math.min(limit, this.running.size + this.meter.roomAt(nowMs));
+    const limit = Math.max(1, Math.floor(this.limit) - (isRecent ? this.unaccountedInFlight : 0));
+    return Math.min(limit, this.running.size + this.coldStartLimiter.availableAt(nowMs));
   }
 
-  /** Whether a request could start at once, and none waits. */
+  /** Whether a slot is free and no request is queued. */
   private hasFreeSlot(nowMs: number): boolean {
     return this.queue.size === 0 && this.running.size < this.limitAt(nowMs);
   }
 
   /**
-   * A target that has passed can't be met anywhere: where a slot is free, only the deadline counts, so
-   * that the request need not travel again over the link that made it late.
+   * Drops a target time that has passed when a slot is free, so that only the deadline applies. No endpoint could
+   * meet the target any more, and a refusal would send the request again over the link that delayed it.
    */
   private withoutMissedTarget(ticket: AdmissionTicket, nowMs: number): AdmissionTicket {
     const { targetAtMs = Infinity } = ticket;
@@ -262,56 +266,58 @@
   }
 
   /**
-   * Short late work goes with the work in time. Late work waits for some times as long as the pace says that a
-   * slot takes, or for as long as its node allows: after that, the pace is not what it was.
+   * Applies the rules for late work. Short late work is ranked with on-time work. Late work may wait for
+   * {@link LATE_WAIT_FACTOR} times the expected wait, or for as long as its node allows if that is longer; when that
+   * time is exceeded, the endpoint has become slower than the estimate.
    */
-  private withLateTerms(ticket: AdmissionTicket, nowMs: number): AdmissionTicket {
+  private applyLateWorkRules(ticket: AdmissionTicket, nowMs: number): AdmissionTicket {
     const rank = rankOf(ticket);
     if (!isLateRank(rank)) {
       return ticket;
     }
     const { workClass, startByMs = Infinity } = ticket;
     const { overallMs } = this.serviceTimes;
-    const isShort = this.serviceTimes.meanMs(workClass) < SHORT_WORK_PART * overallMs;
-    const priority = isShort ? rankInTime(rank) : rank;
-    const patienceMs = LATE_WAIT_FACTOR * this.expectedWaitMs(priority, nowMs);
-    return { ...ticket, priority, startByMs: Math.max(startByMs, nowMs + patienceMs) };
+    const isShort = this.serviceTimes.meanMs(workClass) < SHORT_WORK_RATIO * overallMs;
+    const priority = isShort ? onTimeRank(rank) : rank;
+    const maxWaitMs = LATE_WAIT_FACTOR * this.expectedWaitMs(priority, nowMs);
+    return { ...ticket, priority, startByMs: Math.max(startByMs, nowMs + maxWaitMs) };
   }
 
   /**
-   * A full queue has no place for what goes before nothing in it, unless a slot is free. Places that are
-   * kept for bodies count as those of the queue do: they keep out nothing more urgent, and take no more
-   * places of others than there are.
+   * Returns 'queue-full' when the queue is full, no slot is free and the request would displace no queued one.
+   * Reservations count as queued requests do: they do not keep out more urgent requests, and displace no more
+   * queued requests than there are.
    */
-  private lackOfRoom(ticket: AdmissionTicket, nowMs: number): RefusalReason | undefined {
+  private queueFullReasonFor(ticket: AdmissionTicket, nowMs: number): RefusalReason | undefined {
     const freeSlots = Math.max(0, this.limitAt(nowMs) - this.running.size);
     const rank = rankOf(ticket);
-    const keptAhead = [...this.reserved.values()].filter((other) => other <= rank).length;
-    const taken = this.queue.countUpTo(rank) + keptAhead;
-    const hasRoom =
-      taken < this.queueBound + freeSlots || this.queue.canDisplacePeerFor(ticket, keptAhead);
-    return hasRoom ? undefined : 'queue-full';
+    const reservedAhead = [...this.reserved.values()].filter((other) => other <= rank).length;
+    const occupied = this.queue.countAtLeastAsUrgent(rank) + reservedAhead;
+    const hasCapacity =
+      occupied < this.queueBound + freeSlots ||
+      this.queue.canDisplacePeerFor(ticket, reservedAhead);
+    return hasCapacity ? undefined : 'queue-full';
   }
 
   private get queueBound(): number {
     return Math.min(this.maxWaiting, this.slots * this.queuedPerSlot);
   }
 
-  /** Makes room in a full queue for a request that goes before one in it. */
+  /** Displaces a request from a full queue in favour of one that is preferred to it. */
   private displaceFor(ticket: AdmissionTicket, nowMs: number): AdmissionEffect[] {
     const isFull = this.queue.size >= this.queueBound;
     const displaced = isFull ? this.queue.displaceFor(ticket) : undefined;
     return displaced === undefined ? [] : [this.refuse(displaced, 'queue-full', nowMs)];
   }
 
-  private refusalOf(ticket: AdmissionTicket, nowMs: number): RefusalReason | undefined {
+  private refusalReasonFor(ticket: AdmissionTicket, nowMs: number): RefusalReason | undefined {
     if (this.closedFor !== undefined) {
       return this.closedFor;
     }
     if (ticket.deadlineAtMs <= nowMs) {
       return 'deadline-passed';
     }
-    // Callers would be told to come back after an infinite time, or after none that is a number.
+    // The expected wait would be infinite or NaN, and so would the retry delay.
     if (this.slots === 0) {
       return 'queue-full';
     }
@@ -322,34 +328,35 @@
       : undefined;
   }
 
-  /** The last moment at which a request can start and still finish in time. */
+  /** Latest time at which a request can start and still finish in time. */
   private lastUsefulStartMs(ticket: AdmissionTicket): number {
     const { deadlineAtMs, targetAtMs = Infinity, workClass } = ticket;
     return Math.min(deadlineAtMs, targetAtMs) - this.serviceTimes.meanMs(workClass);
   }
 
   /**
-   * An idle endpoint gets the request all the same, so that its pace is measured anew. How long the
-   * request may wait is no reason to leave a slot free that it can have at once.
+   * Whether a request that starts at `startAtMs` cannot finish in time. Never true for an idle endpoint, so that
+   * its service time is measured again. `startByMs` is not considered, since it does not restrict a request that
+   * gets a free slot immediately.
    */
   private isTooLate(ticket: AdmissionTicket, startAtMs: number, hasToWait = false): boolean {
     const isIdle = this.running.size === 0 && !hasToWait;
     return !isIdle && startAtMs > this.lastUsefulStartMs(ticket);
   }
 
-  /** Time until a request of the rank that arrives now gets a slot, at the measured pace. */
+  /** Expected wait for a slot of a request of the rank that arrives now, by the measured service times. */
   private expectedWaitMs(rank: number, nowMs: number): number {
-    const waiting = this.queue.countUpTo(rank);
+    const waiting = this.queue.countAtLeastAsUrgent(rank);
     const ahead = this.running.size + waiting - this.limit + 1;
     const slotWaitMs = ahead <= 0 ? 0 : (ahead * this.serviceTimes.overallMs) / this.limit;
-    return Math.max(slotWaitMs, this.meter.waitMs(waiting + 1, nowMs));
+    return Math.max(slotWaitMs, this.coldStartLimiter.maxDelayMs(waiting + 1, nowMs));
   }
 
   private refuse(ticket: AdmissionTicket, reason: RefusalReason, nowMs: number): AdmissionEffect {
     return { type: 'refuse', ...this.refusal(ticket, reason, nowMs) };
   }
 
-  /** `bodyWaitMs` is how much sooner the body would have to arrive. */
+  /** `bodyWaitMs` is how much earlier the body would have to arrive. */
   private refusal(
     ticket: AdmissionTicket,
     reason: RefusalReason,
@@ -367,7 +374,7 @@
   private fillSlots(nowMs: number): AdmissionEffect[] {
     const effects: AdmissionEffect[] = [];
     while (this.running.size < this.limitAt(nowMs)) {
-      const ticket = this.queue.takeNext();
+      const ticket = this.queue.dequeue();
       if (ticket === undefined) {
         break;
       }
@@ -376,7 +383,7 @@
     return effects;
   }
 
-  /** The clock is checked again: the process may have been paused while the request waited. */
+  /** Checks the deadline again, since the process may have been paused while the request was queued. */
   private dispatchOrRefuse(ticket: AdmissionTicket, nowMs: number): AdmissionEffect {
     if (ticket.deadlineAtMs <= nowMs) {
       return this.refuse(ticket, 'deadline-passed', nowMs);
@@ -385,7 +392,7 @@
       return this.refuse(ticket, 'cannot-finish-in-time', nowMs);
     }
     this.running.set(ticket.requestId, ticket.workClass);
-    this.meter.sent(nowMs);
+    this.coldStartLimiter.recordSent(nowMs);
     return { type: 'dispatch', requestId: ticket.requestId };
   }
 }
--- a/src/admission/service-times.ts
+++ b/src/admission/service-times.ts
@@ -1,57 +1,59 @@
-/** Running means of the time that requests take at one endpoint, by class of work. Pure. */
+/** Moving averages of one endpoint's service times, by class of work. Pure. */
 
-/** Weight of a new measurement in a running mean. */
+/** Weight of a new measurement in the moving average. */
 const MEASUREMENT_WEIGHT = 0.1;
-/** The same of a time that was only a part of what the request would have taken: it is lost already. */
+/**
+ * Weight of the elapsed time of an abandoned request, which would have taken longer. Higher than that of a
+ * measurement, because a request has already been lost.
+ */
 const UNFINISHED_WEIGHT = 0.3;
-/** Classes remembered; beyond that, the one that was measured first is forgotten. */
+/** Maximum number of classes; beyond it, the class that was measured first is evicted. */
 const MAX_CLASSES = 1_000;
 
-/** The times of one endpoint, in milliseconds. */
+/** Service times of one endpoint, in milliseconds. */
 export class ServiceTimes {
-  private readonly meanOfClasses = new Map<string, number>();
-  private meanOfAll: number | undefined;
+  private readonly meansByClass = new Map<string, number>();
+  private overallMean: number | undefined;
 
   /** Mean over all classes; 0 before the first measurement. */
   get overallMs(): number {
-    return this.meanOfAll ?? 0;
+    return this.overallMean ?? 0;
   }
 
-  /** Mean of a class; that of all classes while the class was not measured. */
+  /** Mean of a class; the mean over all classes while the class has no measurement. */
   meanMs(workClass: string | undefined): number {
-    return this.meanOfClasses.get(workClass ?? '') ?? this.overallMs;
+    return this.meansByClass.get(workClass ?? '') ?? this.overallMs;
   }
 
-  /** Mean of a class; undefined while the class was not measured. */
+  /** Mean of a class; undefined while the class has no measurement. */
   measuredMs(workClass: string): number | undefined {
-    return this.meanOfClasses.get(workClass);
+    return this.meansByClass.get(workClass);
   }
 
-  /** Takes a measurement. */
   measure(workClass: string | undefined, serviceMs: number): void {
-    this.take(workClass, serviceMs, MEASUREMENT_WEIGHT);
+    this.update(workClass, serviceMs, MEASUREMENT_WEIGHT);
   }
 
-  /** A request was given up after `elapsedMs`, which is less than it would have taken. */
+  /** Records a request that was abandoned after `elapsedMs`, a lower bound on its service time. */
   measureUnfinished(workClass: string | undefined, elapsedMs: number): void {
     if (elapsedMs > this.meanMs(workClass)) {
-      this.take(workClass, elapsedMs, UNFINISHED_WEIGHT);
+      this.update(workClass, elapsedMs, UNFINISHED_WEIGHT);
     }
   }
 
-  private take(workClass: string | undefined, ms: number, weight: number): void {
-    this.meanOfAll = weigh(this.meanOfAll, ms, weight);
+  private update(workClass: string | undefined, ms: number, weight: number): void {
+    this.overallMean = updatedMean(this.overallMean, ms, weight);
     if (workClass === undefined) {
       return;
     }
-    this.meanOfClasses.set(workClass, weigh(this.meanOfClasses.get(workClass), ms, weight));
-    if (this.meanOfClasses.size > MAX_CLASSES) {
-      const [first = ''] = this.meanOfClasses.keys();
-      this.meanOfClasses.delete(first);
+    this.meansByClass.set(workClass, updatedMean(this.meansByClass.get(workClass), ms, weight));
+    if (this.meansByClass.size > MAX_CLASSES) {
+      const [first = ''] = this.meansByClass.keys();
+      this.meansByClass.delete(first);
     }
   }
 }
 
-function weigh(previous: number | undefined, measured: number, weight: number): number {
+function updatedMean(previous: number | undefined, measured: number, weight: number): number {
   return previous === undefined ? measured : previous + (measured - previous) * weight;
 }
--- a/src/clock/progress-timer.ts
+++ b/src/clock/progress-timer.ts
@@ -1,18 +1,18 @@
 /**
- * Bounds how long an answer may take. What is on its way is waited for as long as bytes come: an answer that had
- * to be whole in the time within which it has to begin was given up shortly before its end on a thin link,
- * and asked for again from its beginning.
+ * Timeouts for a response: until its first byte, and then between bytes. A response that is in progress may take
+ * longer than the time until its first byte; with one timeout for the complete response, transfers over slow links
+ * were aborted shortly before their end and started again from the beginning.
  */
 import { MACHINE_CLOCK } from './machine-clock.js';
 
 /**
- * Time from the first byte of an answer or a message to its last, in milliseconds: who sends a byte now and then is
- * not to hold a node for ever. Twice the time that a configuration may take.
+ * Maximum time from the first to the last byte of a response or message, in milliseconds, so that a peer that sends
+ * a byte now and then cannot occupy a node forever. Twice the time that the transfer of a configuration may take.
  */
 export const MAX_TRANSFER_MS = 5_000;
 
-/** How long an answer may take, in milliseconds. */
-export interface ProgressBounds {
+/** Timeouts of one response, in milliseconds. */
+export interface ProgressTimeouts {
   /** Until its first byte. */
   readonly beginMs: number;
   /** Between two bytes. */
@@ -20,37 +20,37 @@
 }
 
 /**
- * - `silent`: nothing came for as long as it may.
- * - `slow`: bytes came, and the last of them did not.
+ * - `silent`: no bytes were received within the timeout.
+ * - `slow`: bytes were received, but the response was not complete within {@link MAX_TRANSFER_MS}.
  */
-export type Lateness = 'silent' | 'slow';
+export type TimeoutReason = 'silent' | 'slow';
 
-/** The timer of one answer; it runs from the start until it is ended. */
+/** The timer of one response; runs from its construction until {@link end} is called. */
 export class ProgressTimer {
   private timer: NodeJS.Timeout;
-  private beganAtMs: number | undefined;
+  private firstByteAtMs: number | undefined;
 
   constructor(
-    private readonly bounds: ProgressBounds,
-    private readonly onLate: (lateness: Lateness) => void,
+    private readonly timeouts: ProgressTimeouts,
+    private readonly onTimeout: (reason: TimeoutReason) => void,
   ) {
-    this.timer = setTimeout(() => onLate('silent'), bounds.beginMs);
+    this.timer = setTimeout(() => onTimeout('silent'), timeouts.beginMs);
   }
 
-  /** Bytes came. */
-  progressed(): void {
+  /** Records that bytes were received. */
+  recordProgress(): void {
     const nowMs = MACHINE_CLOCK.now();
-    this.beganAtMs ??= nowMs;
-    const { idleMs } = this.bounds;
-    const leftMs = this.beganAtMs + MAX_TRANSFER_MS - nowMs;
+    this.firstByteAtMs ??= nowMs;
+    const { idleMs } = this.timeouts;
+    const remainingMs = this.firstByteAtMs + MAX_TRANSFER_MS - nowMs;
     clearTimeout(this.timer);
     this.timer =
-      leftMs < idleMs
-        ? setTimeout(() => this.onLate('slow'), Math.max(0, leftMs))
-        : setTimeout(() => this.onLate('silent'), idleMs);
+      remainingMs < idleMs
+        ? setTimeout(() => this.onTimeout('slow'), Math.max(0, remainingMs))
+        : setTimeout(() => this.onTimeout('silent'), idleMs);
   }
 
-  /** The answer is whole, or its connection has ended. */
+  /** Stops the timer when the response is complete or its connection is closed. */
   end(): void {
     clearTimeout(this.timer);
   }
--- a/src/clock/shared-interval.ts
+++ b/src/clock/shared-interval.ts
@@ -1,25 +1,25 @@
 /**
- * Regular actions that share their wake-ups: all of one interval run in one turn of the event loop. Each
- * wake-up of an idle process costs more than most of what it is woken for.
+ * Periodic actions that share a timer: all actions of one interval run in the same turn of the event loop. A
+ * wake-up of an idle process costs more than most of the actions.
  */
 
-/** Ends a regular action; nothing happens when it has ended. */
-export type EndAction = () => void;
+/** Stops a periodic action; has no effect when it is already stopped. */
+export type StopAction = () => void;
 
-/** One interval of a process; its timer runs while there are actions. */
+/** A shared timer, which runs only while there are actions. */
 export class SharedInterval {
   private readonly actions = new Set<() => void>();
   private timer: NodeJS.Timeout | undefined;
 
   constructor(private readonly intervalMs: number) {}
 
-  /** Runs `action` at each interval, from the next one on, until the returned function is called. */
-  add(action: () => void): EndAction {
-    // The same function may be added twice: each addition is an action of its own.
-    const own = (): void => action();
-    this.actions.add(own);
+  /** Runs `action` at each interval, starting with the next one, until the returned function is called. */
+  add(action: () => void): StopAction {
+    // The wrapper makes each call a separate entry, even for a function that was added before.
+    const entry = (): void => action();
+    this.actions.add(entry);
     this.timer ??= setInterval(() => this.run(), this.intervalMs);
-    return () => this.end(own);
+    return () => this.end(entry);
   }
 
   private run(): void {
@@ -36,10 +36,10 @@
 }
 
 /**
- * Time between two looks at peers, sources, connections and gates, in milliseconds. A silent peer is known
- * in a second at this pace.
+ * Interval of the periodic checks of peers, sources, connections and gates, in milliseconds. Short enough that an
+ * unresponsive peer is detected within a second.
  */
-export const LOOK_INTERVAL_MS = 150;
+export const CHECK_INTERVAL_MS = 150;
 
-/** The looks of this process. */
-export const LOOKS = new SharedInterval(LOOK_INTERVAL_MS);
+/** Periodic checks of this process. */
+export const PERIODIC_CHECKS = new SharedInterval(CHECK_INTERVAL_MS);
--- a/src/clock/suspendable-timers.ts
+++ b/src/clock/suspension-aware-timers.ts
@@ -1,6 +1,6 @@
 /**
- * Timers that are due by a clock which counts suspensions. The system's own timers go by the monotonic
- * clock: after a suspension they would be late by all of it.
+ * Timers that follow a clock which includes suspensions. Native timers follow the monotonic clock and would be
+ * delayed by the whole duration of a suspension.
  */
 import type { TimeSource } from './machine-clock.js';
 
@@ -10,13 +10,13 @@
   handle: NodeJS.Timeout;
 }
 
-/** The timers of one clock. */
-export class SuspendableTimers {
+/** The pending timers of one clock. */
+export class SuspensionAwareTimers {
   private readonly pending = new Set<PendingTimer>();
 
   constructor(private readonly now: TimeSource) {}
 
-  /** Runs `action` after `delayMs`, at once when that is not positive; returns what cancels it. */
+  /** Runs `action` after `delayMs`, immediately if that is not positive; returns a function that cancels it. */
   schedule(delayMs: number, action: () => void): () => void {
     const run = (): void => {
       this.pending.delete(timer);
@@ -34,8 +34,8 @@
     };
   }
 
-  /** The clock has gone on by more than the monotonic one: timers are set anew. */
-  setAnew(): void {
+  /** Reschedules all timers after the clock has advanced further than the monotonic clock. */
+  reschedule(): void {
     const nowMs = this.now();
     for (const timer of this.pending) {
       clearTimeout(timer.handle);
--- a/src/containment/containment.ts
+++ b/src/containment/containment.ts
@@ -1,15 +1,17 @@
 /**
- * Keeps requests that end each endpoint which runs them from running on. Learns from the endpoints beside
- * this node and from other nodes, and tells them; see `docs/DESIGN.md`, _Containment_.
+ * Stops requests that crash every endpoint they run on from being sent to further endpoints. Learns of crashes
+ * from the endpoints on its machine and from other nodes, and shares them with other nodes; see
+ * `docs/DESIGN.md`, _Containment_.
  *
- * Without it each copy of such a request was a new one: seven a second, at three nodes with six endpoints,
- * ended 32 of these in 14 s and left 0.26 of all other requests served; now 3, and 1.00 (`npm run crashes`).
+ * Without containment, each copy of such a request counts as a new request. With seven copies a second at three
+ * nodes with six endpoints, endpoints crashed 32 times in 14 s and a share of 0.26 of all other requests was served;
+ * with containment, 3 crashes and a share of 1.00 (`npm run crashes`).
  */
 import type { CounterSink } from '../control/control-event.js';
 import { cryptography } from '../model/cryptography.js';
 import { RequestFingerprint, type FingerprintedParts } from './request-fingerprint.js';
 import {
-  CRASH_NAME_DIGITS,
+  CRASH_ID_DIGITS,
   CRASHES_TO_CONTAIN,
   type Standing,
   type Suspicion,
@@ -17,61 +19,61 @@
 } from './suspicion.js';
 import { SuspicionTable } from './suspicion-table.js';
 
-/** Fingerprints that a line of the log names at most. */
-const MAX_SHOWN = 16;
-/** Least time between two looks for what has expired, in milliseconds. */
+/** Maximum number of fingerprints in one log line. */
+const MAX_LOGGED_FINGERPRINTS = 16;
+/** Minimum time between two removals of expired entries, in milliseconds. */
 const EXPIRY_INTERVAL_MS = 1_000;
 
-/** What containment needs of its node. */
+/** Dependencies that the node provides. */
 export interface ContainmentOptions {
-  /** Names the crashes that this node sees: no other process has the same. */
+  /** Prefix of the crash ids of this node; unique among all processes. */
   readonly nodeName: string;
-  /** Header that names a request's caller, in lower case; undefined where none does. */
+  /** Header that names a request's caller, in lower case; undefined when there is none. */
   readonly callerHeader: string | undefined;
   /** The node's clock, in milliseconds. */
   readonly nowMs: () => number;
   readonly counters: CounterSink;
-  /** Writes one line on a change of state. */
-  readonly logStateChange: (what: string, detail: string) => void;
+  /** Logs a change of state in one line. */
+  readonly logStateChange: (event: string, detail: string) => void;
 }
 
-/** Takes what other nodes are to know. */
+/** Receives changed suspicions, to be shared with other nodes. */
 export type SuspicionListener = (changed: readonly Suspicion[]) => void;
 
-/** What the request path asks and tells. */
+/** The part of containment that the request path uses. */
 export interface CallContainment {
   standingOf(parts: FingerprintedParts): Standing;
-  /** How much longer the request is contained, in milliseconds. */
+  /** Time for which the request remains contained, in milliseconds. */
   containedForMs(parts: FingerprintedParts): number;
-  /** An endpoint's process ended; `calls` were at work there, the latest first. */
+  /** Records that an endpoint's process ended; `calls` are the requests that it was processing, latest first. */
   endpointEnded(endpoint: string, calls: readonly FingerprintedParts[]): void;
-  /** An endpoint answered the request with success, in whole. */
+  /** Records that an endpoint answered the request successfully and completely. */
   answered(parts: FingerprintedParts): void;
   fingerprintOf(parts: FingerprintedParts): string;
 }
 
-/** Containment of one node. */
+/** Containment state of one node. */
 export class Containment implements CallContainment {
   private readonly table = new SuspicionTable();
-  /** By the objects of the request path, so that a request is digested once at a node. */
+  /** Cached by request object, so that a node computes the digests of a request once. */
   private readonly fingerprints = new WeakMap<FingerprintedParts, RequestFingerprint>();
   private readonly listeners = new Set<SuspicionListener>();
   private crashCount = 0;
-  private expiredAtMs = -Infinity;
+  private lastExpiryAtMs = -Infinity;
 
   constructor(private readonly options: ContainmentOptions) {}
 
-  /** Adds one that is told of every change, but for those that it has brought. */
+  /** Adds a listener for all changes except those passed to {@link learn} by the listener itself. */
   subscribe(listener: SuspicionListener): void {
     this.listeners.add(listener);
   }
 
-  /** The same at two nodes that know the same; 0 where nothing is known. */
+  /** Digest of all entries, equal at nodes with equal entries; 0 when there are none. */
   get digest(): number {
     return this.table.digest;
   }
 
-  /** Requests that are kept in mind, those among them that are cleared. */
+  /** Number of entries, including cleared ones. */
   get size(): number {
     return this.table.size;
   }
@@ -81,7 +83,7 @@
   }
 
   standingOf(parts: FingerprintedParts): Standing {
-    return this.mayKnow(parts)
+    return this.mayBeSuspected(parts)
       ? this.table.standingOf(this.fingerprintOf(parts), this.options.nowMs())
       : 'clear';
   }
@@ -93,48 +95,48 @@
   endpointEnded(endpoint: string, calls: readonly FingerprintedParts[]): void {
     this.crashCount += 1;
     const { nodeName, counters, logStateChange, nowMs } = this.options;
-    const crash = crashNameOf(`${nodeName} ${this.crashCount}`);
-    const changed = this.table.blame(
+    const crash = crashIdOf(`${nodeName} ${this.crashCount}`);
+    const changed = this.table.recordCrash(
       calls.map((call) => this.fingerprintOf(call)),
       crash,
       nowMs(),
     );
     counters.add('ferryspool_endpoints_ended_total');
-    const suspects = changed.map(({ fingerprint }) => fingerprint);
-    const shown = suspects.slice(0, MAX_SHOWN).join(' ');
+    const fingerprints = changed.map(({ fingerprint }) => fingerprint);
+    const loggedFingerprints = fingerprints.slice(0, MAX_LOGGED_FINGERPRINTS).join(' ');
     logStateChange(
       'endpoint-ended',
-      `${endpoint}, crash ${crash}, ${suspects.length} at work: ${shown}`,
+      `${endpoint}, crash ${crash}, ${fingerprints.length} requests in flight: ${loggedFingerprints}`,
     );
     this.tell(changed, undefined);
   }
 
   answered(parts: FingerprintedParts): void {
-    if (this.mayKnow(parts)) {
+    if (this.mayBeSuspected(parts)) {
       this.tell(this.table.clear(this.fingerprintOf(parts), this.options.nowMs()), undefined);
     }
   }
 
-  /** An operator lets a request go, whoever calls; false when nothing stood against it. */
+  /** Clears a request for all callers on behalf of an operator; false when no crash counted against it. */
   release(fingerprint: string): boolean {
     const changed = this.table.release(fingerprint, this.options.nowMs());
     this.tell(changed, undefined);
     return changed.length > 0;
   }
 
-  /** Takes what another node knows; gives what of it is new, and tells it to all listeners but `from`. */
+  /** Merges suspicions of another node; returns the changed ones and passes them to all listeners but `from`. */
   learn(suspicions: readonly Suspicion[], from?: SuspicionListener): readonly Suspicion[] {
     const changed = this.table.merge(suspicions, this.options.nowMs());
     this.tell(changed, from);
     return changed;
   }
 
-  /** All that is known, what is most suspected first. */
+  /** All suspicions, those with the most counted crashes first. */
   list(): Suspicion[] {
     return this.table.list(this.options.nowMs());
   }
 
-  /** All that is known, as operators see it. */
+  /** All suspicions with their standings, for operators. */
   report(): SuspicionReport[] {
     const nowMs = this.options.nowMs();
     return this.table.list(nowMs).map((suspicion) => ({
@@ -144,21 +146,21 @@
     }));
   }
 
-  /** To be called now and then. */
+  /** Removes expired entries; to be called regularly. */
   tick(): void {
     const nowMs = this.options.nowMs();
-    if (this.table.size > 0 && nowMs - this.expiredAtMs >= EXPIRY_INTERVAL_MS) {
-      this.expiredAtMs = nowMs;
+    if (this.table.size > 0 && nowMs - this.lastExpiryAtMs >= EXPIRY_INTERVAL_MS) {
+      this.lastExpiryAtMs = nowMs;
       this.table.expire(nowMs);
     }
   }
 
   fingerprintOf(parts: FingerprintedParts): string {
-    return this.digestsOf(parts).whole;
+    return this.digestsOf(parts).fullDigest;
   }
 
-  private mayKnow(parts: FingerprintedParts): boolean {
-    return this.table.size > 0 && this.table.hasHead(this.digestsOf(parts).head);
+  private mayBeSuspected(parts: FingerprintedParts): boolean {
+    return this.table.size > 0 && this.table.hasHeadDigest(this.digestsOf(parts).headDigest);
   }
 
   private digestsOf(parts: FingerprintedParts): RequestFingerprint {
@@ -190,11 +192,11 @@
   }
 }
 
-function crashNameOf(text: string): string {
-  return cryptography().createHash('sha256').update(text).digest('hex').slice(0, CRASH_NAME_DIGITS);
+function crashIdOf(text: string): string {
+  return cryptography().createHash('sha256').update(text).digest('hex').slice(0, CRASH_ID_DIGITS);
 }
 
-/** Knows nothing and learns nothing. */
+/** Containment that never suspects a request. */
 export const NO_CONTAINMENT: CallContainment = {
   standingOf: () => 'clear',
   containedForMs: () => 0,
--- a/src/containment/request-fingerprint.ts
+++ b/src/containment/request-fingerprint.ts
@@ -1,28 +1,28 @@
 /**
- * What makes two requests the same at any two machines: method, path and query, host, body, and who called.
- * Names that callers give to each try are left out. The caller stands apart, at the end: whether it matters
- * shows only once one caller is served where another is not.
+ * Identifies equal requests on all machines by method, path and query, host, body, and caller. Ids that callers
+ * assign to each attempt are excluded. The digest of the caller is a separate part at the end, because whether the
+ * caller matters is known only when one caller is served and another is not.
  */
 import { isIP } from 'node:net';
 import { cryptography } from '../model/cryptography.js';
 import { headerValue, type HeaderList } from '../proxy/headers.js';
 import { HeldBody, type RequestBody } from '../proxy/request-body.js';
 
-/** Hexadecimal digits of a digest of a request's head, and of one of its body. */
+/** Hexadecimal digits of the head digest, and of the body digest. */
 const PART_DIGITS = 16;
-/** The same, of one of its caller. */
+/** Hexadecimal digits of the caller digest. */
 const CALLER_DIGITS = 8;
 const DIGITS_PER_BYTE = 2;
-/** Bytes of a fingerprint. */
+/** Length of a fingerprint in bytes. */
 export const FINGERPRINT_BYTES = (2 * PART_DIGITS + CALLER_DIGITS) / DIGITS_PER_BYTE;
-/** The port of a host and port. */
+/** Matches the port at the end of a host header. */
 const PORT = /:[0-9]*$/;
-/** Around an IPv6 address. */
+/** Matches the brackets around an IPv6 address. */
 const BRACKETS = /^\[|\]$/g;
-/** Stands between parts that hold no line ends. */
+/** Separator of the digested parts, which contain no line breaks. */
 const SEPARATOR = '\n';
 
-/** The parts of a request that its fingerprint is made of. */
+/** The parts of a request that its fingerprint covers. */
 export interface FingerprintedParts {
   readonly method: string;
   /** Path and query. */
@@ -31,54 +31,55 @@
   readonly body: RequestBody;
 }
 
-/** The fingerprint of one request; digests are made when they are asked for, each once. */
+/** The fingerprint of one request; its digests are computed lazily and cached. */
 export class RequestFingerprint {
-  private knownHead: string | undefined;
-  private knownWhole: string | undefined;
+  private cachedHeadDigest: string | undefined;
+  private cachedFullDigest: string | undefined;
 
-  /** `callerHeader` names the caller, in lower case; undefined where none does. */
+  /** `callerHeader` is the header that names the caller, in lower case; undefined when there is none. */
   constructor(
     private readonly parts: FingerprintedParts,
     private readonly callerHeader: string | undefined,
   ) {}
 
-  /** Digest of all but body and caller: the first digits of {@link whole}. */
-  get head(): string {
-    this.knownHead ??= digestOf([textOf(this.parts)]);
-    return this.knownHead;
+  /** Digest of method, target and host: the first digits of {@link fullDigest}. */
+  get headDigest(): string {
+    this.cachedHeadDigest ??= digestOf([headTextOf(this.parts)]);
+    return this.cachedHeadDigest;
   }
 
-  /** Digest of the request, in hexadecimal digits. */
-  get whole(): string {
-    this.knownWhole ??= this.head + digestOf(bodyOf(this.parts.body)) + this.caller;
-    return this.knownWhole;
+  /** Digest of head, body and caller, in hexadecimal digits. */
+  get fullDigest(): string {
+    this.cachedFullDigest ??=
+      this.headDigest + digestOf(bodyDigestInput(this.parts.body)) + this.callerDigest;
+    return this.cachedFullDigest;
   }
 
-  private get caller(): string {
+  private get callerDigest(): string {
     const { callerHeader, parts } = this;
     const name = callerHeader === undefined ? '' : headerValue(parts.headers, callerHeader);
     return digestOf([name ?? '']).slice(0, CALLER_DIGITS);
   }
 }
 
-/** The part of a fingerprint that does not depend on the caller. */
-export function callerlessOf(fingerprint: string): string {
+/** The digits of a fingerprint that do not depend on the caller. */
+export function withoutCaller(fingerprint: string): string {
   return fingerprint.slice(0, 2 * PART_DIGITS);
 }
 
-/** The part of a fingerprint that depends on neither body nor caller. */
-export function headOf(fingerprint: string): string {
+/** The digits of a fingerprint that depend on neither body nor caller. */
+export function headDigestOf(fingerprint: string): string {
   return fingerprint.slice(0, PART_DIGITS);
 }
 
-function textOf({ method, target, headers }: FingerprintedParts): string {
+function headTextOf({ method, target, headers }: FingerprintedParts): string {
   return [method, target, hostOf(headers)].join(SEPARATOR);
 }
 
 /**
- * The host without a port: nodes may listen on different ones. An address names the node that is asked, not what
- * it is asked for: as a part of what tells requests apart, one that three nodes were asked for ended three
- * endpoints for each (9 in all).
+ * The host name without its port, since nodes may listen on different ports; empty for an IP address. An address
+ * identifies the receiving node rather than the request: if it were part of the fingerprint, one request sent to
+ * three nodes would end three endpoints for each of them (9 in total).
  */
 function hostOf(headers: HeaderList): string {
   const host = (headerValue(headers, 'host') ?? '').toLowerCase().replace(PORT, '');
@@ -86,10 +87,10 @@
 }
 
 /**
- * A body that nodes pass on without holding it is known by its length alone: requests that differ only in
- * such bodies are taken for the same one, and one of them that is answered clears them all.
+ * A body that nodes forward without buffering is identified by its length alone: requests that differ only in such
+ * bodies have the same fingerprint, and a successful response to one of them clears them all.
  */
-function bodyOf(body: RequestBody): readonly (string | Buffer)[] {
+function bodyDigestInput(body: RequestBody): readonly (string | Buffer)[] {
   return body instanceof HeldBody ? ['held', body.bytes] : [`passed on ${body.length ?? ''}`];
 }
 
--- a/src/containment/suspect-lane.ts
+++ b/src/containment/suspect-lane.ts
@@ -1,48 +1,48 @@
 /**
- * Which requests under suspicion may be at work at one endpoint together. Few stand beside each other, so
- * that its end tells which of them was the cause; an accused one stands alone among them, so that its end
- * names it. Pure.
+ * Limits which suspected requests one endpoint processes concurrently. Few suspects run together, so that a crash
+ * points to few possible causes; an accused request runs without other suspects, so that a crash identifies it as
+ * the cause. Pure.
  */
 import type { Standing } from './suspicion.js';
 
-/** Slots of an endpoint for each suspect that it may be at work on. */
+/** Slots of an endpoint per suspect that it may process. */
 const SLOTS_PER_SUSPECT = 4;
 
-/** A request that may want to be at work. */
+/** A request to which the limit applies. */
 export interface LaneRequest {
   readonly standing: Standing;
   readonly fingerprint: string;
 }
 
-/** The requests under suspicion at one endpoint. */
+/** The suspected requests at one endpoint. */
 export class SuspectLane {
-  /** By the names of attempts. */
-  private readonly present = new Map<string, LaneRequest>();
+  /** Suspected requests that run or wait for a slot, by attempt id. */
+  private readonly activeAttempts = new Map<string, LaneRequest>();
 
-  /** Whether the request may be at work beside those that are. */
+  /** Whether the request may run concurrently with the active ones. */
   admits({ standing, fingerprint }: LaneRequest, slots: number): boolean {
     if (standing === 'clear') {
       return true;
     }
-    const others = [...this.present.values()];
+    const others = [...this.activeAttempts.values()];
     if (standing === 'accused') {
       return others.length === 0;
     }
     const suspects = new Set(others.map((other) => other.fingerprint));
-    const isOne = suspects.has(fingerprint);
-    const hasRoom = suspects.size < Math.max(1, Math.floor(slots / SLOTS_PER_SUSPECT));
-    return others.every((other) => other.standing !== 'accused') && (isOne || hasRoom);
+    const isActive = suspects.has(fingerprint);
+    const isBelowLimit = suspects.size < Math.max(1, Math.floor(slots / SLOTS_PER_SUSPECT));
+    return others.every((other) => other.standing !== 'accused') && (isActive || isBelowLimit);
   }
 
-  /** The attempt is at work from now on, or waits for a slot. */
+  /** Adds an attempt that runs or waits for a slot. */
   enter(attempt: string, request: LaneRequest): void {
     if (request.standing !== 'clear') {
-      this.present.set(attempt, request);
+      this.activeAttempts.set(attempt, request);
     }
   }
 
-  /** The attempt is over; true when another one may have become possible. */
+  /** Removes an attempt that has ended; true when it was active, so that another may be admitted. */
   leave(attempt: string): boolean {
-    return this.present.delete(attempt);
+    return this.activeAttempts.delete(attempt);
   }
 }
--- a/src/containment/suspicion-entry.ts
+++ b/src/containment/suspicion-entry.ts
@@ -1,10 +1,10 @@
 /**
- * One request of one caller under suspicion at one node. Entries of several nodes are joined by union, so
- * that the order in which news arrives, and how often, makes no difference.
+ * What one node knows of one suspected request of one caller. Entries of several nodes are merged by set union, so
+ * that neither the order nor repetition of messages matters.
  */
-import { MAX_CRASHES, rememberedMs, type Suspicion } from './suspicion.js';
+import { MAX_CRASHES, retentionMs, type Suspicion } from './suspicion.js';
 
-/** The entry. Moments are on the node's clock, in milliseconds. */
+/** Crashes of one request of one caller. Times are on the node's clock, in milliseconds. */
 export class SuspicionEntry {
   private crashes = new Set<string>();
   private cleared = new Set<string>();
@@ -12,44 +12,43 @@
 
   constructor(readonly fingerprint: string) {}
 
-  /** Crashes that count against the request, by their names. */
-  get counting(): readonly string[] {
+  /** Ids of the crashes that count against the request. */
+  get activeCrashes(): readonly string[] {
     return [...this.crashes].filter((crash) => !this.cleared.has(crash));
   }
 
-  /** How many crashes count against the request. */
-  get crashCount(): number {
+  get activeCrashCount(): number {
     return this.crashes.size - this.cleared.size;
   }
 
-  /** Whether some crash counts no more. */
+  /** Whether any crash has been cleared. */
   get isCleared(): boolean {
     return this.cleared.size > 0;
   }
 
-  /** When the newest crash was. */
+  /** Time of the newest crash. */
   get newestCrashAtMs(): number {
     return this.newestAtMs;
   }
 
-  /** Until when the entry is kept. */
+  /** Time at which the entry expires. */
   get expiresAtMs(): number {
-    return this.newestAtMs + rememberedMs(this.crashCount);
+    return this.newestAtMs + retentionMs(this.activeCrashCount);
   }
 
-  /** Takes a crash; false when it is known. */
-  blame(crash: string, nowMs: number): boolean {
-    return this.join([crash], [], nowMs);
+  /** Adds a crash; false when it is already known. */
+  addCrash(crash: string, nowMs: number): boolean {
+    return this.mergeCrashes([crash], [], nowMs);
   }
 
-  /** Clears these crashes, the newest of which was at `newestAtMs`; false when all are cleared already. */
+  /** Clears the given crashes, the newest of which was at `newestAtMs`; false when all are already cleared. */
   clear(crashes: readonly string[], newestAtMs: number): boolean {
-    return this.join(crashes, crashes, newestAtMs);
+    return this.mergeCrashes(crashes, crashes, newestAtMs);
   }
 
-  /** Takes what another node knows; false when nothing of it is new. */
+  /** Merges an entry of another node; false when nothing changes. */
   merge({ crashes, cleared, ageMs }: Suspicion, nowMs: number): boolean {
-    return this.join(crashes, cleared, nowMs - ageMs);
+    return this.mergeCrashes(crashes, cleared, nowMs - ageMs);
   }
 
   toSuspicion(nowMs: number): Suspicion {
@@ -61,48 +60,54 @@
     };
   }
 
-  /** Differs where something else is known. */
+  /** Changes with the sets of crashes and cleared crashes. */
   private get key(): string {
     return [...[...this.crashes].sort(), '', ...[...this.cleared].sort()].join(' ');
   }
 
-  private join(
+  private mergeCrashes(
     crashes: readonly string[],
     cleared: readonly string[],
     newestAtMs: number,
   ): boolean {
     const before = this.key;
-    const hasNew = crashes.some((crash) => !this.crashes.has(crash));
-    const hasOwn = [...this.crashes].some((crash) => !crashes.includes(crash));
-    this.newestAtMs = newestOf(this.newestAtMs, newestAtMs, hasOwn, hasNew);
+    const hasNewCrashes = crashes.some((crash) => !this.crashes.has(crash));
+    const hasOtherCrashes = [...this.crashes].some((crash) => !crashes.includes(crash));
+    this.newestAtMs = mergedNewestAtMs(this.newestAtMs, newestAtMs, hasOtherCrashes, hasNewCrashes);
     this.crashes = new Set([...this.crashes, ...crashes]);
     this.cleared = new Set([...this.cleared, ...cleared.filter((one) => this.crashes.has(one))]);
-    this.bound();
+    this.truncate();
     return this.key !== before;
   }
 
-  /** Of too many crashes those go first that count no more. */
-  private bound(): void {
+  /** Reduces the crashes to {@link MAX_CRASHES}, dropping cleared ones first. */
+  private truncate(): void {
     if (this.crashes.size > MAX_CRASHES) {
       const inOrder = [...this.crashes].sort();
-      const counting = inOrder.filter((crash) => !this.cleared.has(crash));
-      const others = inOrder.filter((crash) => this.cleared.has(crash));
-      this.crashes = new Set([...counting, ...others].slice(0, MAX_CRASHES));
-      this.cleared = new Set(others.filter((crash) => this.crashes.has(crash)));
+      const active = inOrder.filter((crash) => !this.cleared.has(crash));
+      const clearedCrashes = inOrder.filter((crash) => this.cleared.has(crash));
+      this.crashes = new Set([...active, ...clearedCrashes].slice(0, MAX_CRASHES));
+      this.cleared = new Set(clearedCrashes.filter((crash) => this.crashes.has(crash)));
     }
   }
 }
 
 /**
- * When the newest crash of a joined entry was. Of two nodes that know of the same crashes the older age
- * holds: news spends time on its way that no age counts, and would never grow old in a circle.
+ * Time of the newest crash of a merged entry. If both nodes know the same crashes, the greater age is used: ages do
+ * not include the time that messages spend in transit, so that an entry that circulates among nodes would never
+ * expire.
  */
-function newestOf(ownAtMs: number, toldAtMs: number, hasOwn: boolean, hasNew: boolean): number {
-  if (hasOwn && hasNew) {
-    return Math.max(ownAtMs, toldAtMs);
+function mergedNewestAtMs(
+  ownAtMs: number,
+  receivedAtMs: number,
+  hasOtherCrashes: boolean,
+  hasNewCrashes: boolean,
+): number {
+  if (hasOtherCrashes && hasNewCrashes) {
+    return Math.max(ownAtMs, receivedAtMs);
   }
-  if (hasNew) {
-    return toldAtMs;
+  if (hasNewCrashes) {
+    return receivedAtMs;
   }
-  return hasOwn ? ownAtMs : Math.min(ownAtMs, toldAtMs);
+  return hasOtherCrashes ? ownAtMs : Math.min(ownAtMs, receivedAtMs);
 }
--- a/src/containment/suspicion-flood.ts
+++ b/src/containment/suspicion-flood.ts
@@ -1,31 +1,31 @@
 /**
- * Spreads what is known of requests under which endpoints ended over the links of the control plane: each
- * node passes on once what is new to it, and tells a new peer what it knows.
+ * Floods suspicions over the links of the control plane: each node forwards a suspicion once when it is new to the
+ * node, and sends all suspicions to a new peer.
  */
 import type { ControlComponent, ControlEffect, ControlEvent } from '../control/control-event.js';
 import type { Containment, SuspicionListener } from './containment.js';
 import type { Suspicion } from './suspicion.js';
-import { fitting } from './suspicion-layout.js';
+import { limitToBytes } from './suspicion-layout.js';
 
-/** Bytes that a new peer is told, at most: the 600 most suspected requests or so. */
-const MAX_GREETING_BYTES = 32 * 1024;
+/** Maximum size of the message to a new peer, in bytes: about the 600 most suspected requests. */
+const MAX_INITIAL_SYNC_BYTES = 32 * 1024;
 
-/** Time between two looks for what has expired, in milliseconds. */
+/** Time between two removals of expired entries, in milliseconds. */
 const EXPIRY_INTERVAL_MS = 10_000;
 
-/** The flood of one node. */
+/** The flooding component of one node. */
 export class SuspicionFlood implements ControlComponent {
   private readonly peers = new Set<string>();
   private wakeAtMs = Infinity;
-  private readonly tell: SuspicionListener;
+  private readonly onChange: SuspicionListener;
 
   /** `offer` queues an event for the control plane. */
   constructor(
     private readonly containment: Containment,
     offer: (event: ControlEvent) => void,
   ) {
-    this.tell = (changed) => offer({ type: 'suspicions', changed });
-    containment.subscribe(this.tell);
+    this.onChange = (changed) => offer({ type: 'suspicions', changed });
+    containment.subscribe(this.onChange);
   }
 
   handle(event: ControlEvent, nowMs: number): ControlEffect[] {
@@ -49,7 +49,10 @@
         return [];
       case 'peer-up':
         this.peers.add(event.peer.id);
-        return sendTo([event.peer.id], fitting(this.containment.list(), MAX_GREETING_BYTES));
+        return sendTo(
+          [event.peer.id],
+          limitToBytes(this.containment.list(), MAX_INITIAL_SYNC_BYTES),
+        );
       case 'peer-down':
         this.peers.delete(event.peer.id);
         return [];
@@ -65,9 +68,9 @@
   }
 
   private learn(from: string, suspicions: readonly Suspicion[]): ControlEffect[] {
-    const changed = this.containment.learn(suspicions, this.tell);
-    const others = [...this.peers].filter((peer) => peer !== from);
-    return sendTo(others, changed);
+    const changed = this.containment.learn(suspicions, this.onChange);
+    const otherPeers = [...this.peers].filter((peer) => peer !== from);
+    return sendTo(otherPeers, changed);
   }
 }
 
--- a/src/containment/suspicion-group.ts
+++ b/src/containment/suspicion-group.ts
@@ -1,17 +1,17 @@
 /**
- * Requests that differ in nothing but their callers. Until one of the callers is served they are taken for
- * one request; from then on the caller matters, and each is judged by its own crashes.
+ * Requests that differ only in their callers. Until one of the callers is served, they are treated as one request;
+ * from then on, each caller's request is judged by its own crashes.
  */
 import { containedMs, standingAfter, type Standing } from './suspicion.js';
 import { SuspicionEntry } from './suspicion-entry.js';
 
-/** Crashes that count against a request, and when the newest was, in milliseconds on the node's clock. */
-interface Record {
+/** Crashes that count against a request, and the time of the newest, in milliseconds on the node's clock. */
+interface CrashRecord {
   readonly crashes: number;
   readonly newestAtMs: number;
 }
 
-/** The entries of one request, by callers. */
+/** The entries of one request, by fingerprint; one for each caller. */
 export class SuspicionGroup {
   private readonly entries = new Map<string, SuspicionEntry>();
 
@@ -19,12 +19,12 @@
     return this.entries.size;
   }
 
-  /** The entry of the fingerprint; a new one that is not kept yet where there is none. */
+  /** The entry of the fingerprint; when there is none, a new entry that is not yet part of the group. */
   entryOf(fingerprint: string): SuspicionEntry {
     return this.entries.get(fingerprint) ?? new SuspicionEntry(fingerprint);
   }
 
-  keep(entry: SuspicionEntry): void {
+  add(entry: SuspicionEntry): void {
     this.entries.set(entry.fingerprint, entry);
   }
 
@@ -32,38 +32,38 @@
     this.entries.delete(fingerprint);
   }
 
-  /** Crashes that count against the request of this fingerprint. */
-  crashCountOf(fingerprint: string): number {
-    return this.recordOf(fingerprint).crashes;
+  /** Number of crashes that count against the request with this fingerprint. */
+  activeCrashCountOf(fingerprint: string): number {
+    return this.crashRecordOf(fingerprint).crashes;
   }
 
   standingOf(fingerprint: string, nowMs: number): Standing {
-    const { crashes, newestAtMs } = this.recordOf(fingerprint);
+    const { crashes, newestAtMs } = this.crashRecordOf(fingerprint);
     return standingAfter(crashes, nowMs - newestAtMs);
   }
 
-  /** How much longer the request is contained, in milliseconds. */
+  /** Time for which the request remains contained, in milliseconds. */
   containedForMs(fingerprint: string, nowMs: number): number {
-    const { crashes, newestAtMs } = this.recordOf(fingerprint);
+    const { crashes, newestAtMs } = this.crashRecordOf(fingerprint);
     return Math.max(0, newestAtMs + containedMs(crashes) - nowMs);
   }
 
-  /** The request was answered: the entry, changed, where that clears something. */
+  /** Clears all crashes of the group for a request that was answered; returns its entry if it changed. */
   clear(fingerprint: string): SuspicionEntry | undefined {
     const entry = this.entryOf(fingerprint);
     const all = [...this.entries.values()];
-    const crashes = [...new Set(all.flatMap(({ counting }) => counting))];
+    const crashes = [...new Set(all.flatMap(({ activeCrashes }) => activeCrashes))];
     const newestAtMs = Math.max(...all.map(({ newestCrashAtMs }) => newestCrashAtMs));
     const hasChanged = crashes.length > 0 && entry.clear(crashes, newestAtMs);
     return hasChanged ? entry : undefined;
   }
 
-  private recordOf(fingerprint: string): Record {
+  private crashRecordOf(fingerprint: string): CrashRecord {
     const all = [...this.entries.values()];
-    const isByCaller = all.some(({ isCleared }) => isCleared);
-    const counted = isByCaller ? all.filter((one) => one.fingerprint === fingerprint) : all;
+    const isCallerSpecific = all.some(({ isCleared }) => isCleared);
+    const counted = isCallerSpecific ? all.filter((one) => one.fingerprint === fingerprint) : all;
     return {
-      crashes: new Set(counted.flatMap(({ counting }) => counting)).size,
+      crashes: new Set(counted.flatMap(({ activeCrashes }) => activeCrashes)).size,
       newestAtMs: Math.max(-Infinity, ...counted.map(({ newestCrashAtMs }) => newestCrashAtMs)),
     };
   }
--- a/src/containment/suspicion-table.ts
+++ b/src/containment/suspicion-table.ts
@@ -1,9 +1,9 @@
 /**
- * The requests that a node holds under suspicion. Pure: time is passed in, and what has changed is given
- * back to be told to others.
+ * The requests that a node suspects. Pure: time is passed in, and changed entries are returned, to be shared with
+ * other nodes.
  */
 import { hashFraction } from '../routing/hash-fraction.js';
-import { callerlessOf, headOf } from './request-fingerprint.js';
+import { withoutCaller, headDigestOf } from './request-fingerprint.js';
 import {
   CRASHES_TO_ACCUSE,
   CRASHES_TO_CONTAIN,
@@ -13,93 +13,93 @@
 import { SuspicionEntry } from './suspicion-entry.js';
 import { SuspicionGroup } from './suspicion-group.js';
 
-/** Requests under suspicion at most: some 300 KB. The least suspected and oldest make room. */
+/** Maximum number of entries, about 300 KB. Entries with the fewest crashes are evicted first, oldest first. */
 export const MAX_SUSPICIONS = 1_024;
-/** Requests that one crash may bring under suspicion at most. */
-export const MAX_BLAMED = 128;
+/** Maximum number of requests that become suspects because of one crash. */
+export const MAX_SUSPECTS_PER_CRASH = 128;
 const DIGEST_VALUES = 2 ** 32;
 
-/** The table of one node. */
+/** The suspicions of one node. */
 export class SuspicionTable {
   private readonly entries = new Map<string, SuspicionEntry>();
-  /** By what the fingerprints of all callers have in common. */
+  /** By the part of the fingerprint that does not depend on the caller. */
   private readonly groups = new Map<string, SuspicionGroup>();
-  /** How many groups have each head, so that bodies are digested for few requests. */
-  private readonly heads = new Map<string, number>();
-  private knownDigest: number | undefined = 0;
+  /** Number of groups by head digest; requests whose head is not listed need no body digest. */
+  private readonly groupCountByHead = new Map<string, number>();
+  private cachedDigest: number | undefined = 0;
 
-  /** Requests in the table, those among them that are cleared. */
+  /** Number of entries, including cleared ones. */
   get size(): number {
     return this.entries.size;
   }
 
-  /** Whether some request with this head may be under suspicion. */
-  hasHead(head: string): boolean {
-    return this.heads.has(head);
+  /** Whether a request with this head digest may be suspected. */
+  hasHeadDigest(head: string): boolean {
+    return this.groupCountByHead.has(head);
   }
 
-  /** The same for two nodes that hold the same; 0 for an empty table. */
+  /** Digest of all entries, equal at nodes with equal entries; 0 for an empty table. */
   get digest(): number {
-    this.knownDigest ??= digestOf(this.entries.values());
-    return this.knownDigest;
+    this.cachedDigest ??= digestOf(this.entries.values());
+    return this.cachedDigest;
   }
 
   standingOf(fingerprint: string, nowMs: number): Standing {
     return this.groupOf(fingerprint)?.standingOf(fingerprint, nowMs) ?? 'clear';
   }
 
-  /** How much longer the request is contained, in milliseconds; 0 when it is not. */
+  /** Time for which the request remains contained, in milliseconds; 0 when it is not contained. */
   containedForMs(fingerprint: string, nowMs: number): number {
     return this.groupOf(fingerprint)?.containedForMs(fingerprint, nowMs) ?? 0;
   }
 
   /**
-   * An endpoint ended while these requests were at work, the latest first. Where one is accused already it
-   * is held to be the cause, and those that stood beside it are not suspected.
+   * Records the crash of an endpoint that was processing these requests, latest first. If some of them are already
+   * accused, the crash is attributed to those, and the others do not become suspects.
    */
-  blame(fingerprints: readonly string[], crash: string, nowMs: number): Suspicion[] {
+  recordCrash(fingerprints: readonly string[], crash: string, nowMs: number): Suspicion[] {
     const accused = fingerprints.filter((one) => this.isAccused(one));
-    const blamed = accused.length > 0 ? accused : fingerprints;
-    return [...new Set(blamed.slice(0, MAX_BLAMED))].flatMap((fingerprint) =>
-      this.change(fingerprint, nowMs, (entry) => entry.blame(crash, nowMs)),
+    const suspects = accused.length > 0 ? accused : fingerprints;
+    return [...new Set(suspects.slice(0, MAX_SUSPECTS_PER_CRASH))].flatMap((fingerprint) =>
+      this.update(fingerprint, nowMs, (entry) => entry.addCrash(crash, nowMs)),
     );
   }
 
-  /** The request was answered in whole. */
+  /** Clears a request that was answered completely. */
   clear(fingerprint: string, nowMs: number): Suspicion[] {
     const entry = this.groupOf(fingerprint)?.clear(fingerprint);
-    return entry === undefined ? [] : this.changed(entry, nowMs);
+    return entry === undefined ? [] : this.storeChanged(entry, nowMs);
   }
 
-  /** An operator lets the request go, whoever calls. */
+  /** Clears a request for all callers on behalf of an operator. */
   release(fingerprint: string, nowMs: number): Suspicion[] {
-    const common = callerlessOf(fingerprint);
+    const requestDigest = withoutCaller(fingerprint);
     return [...this.entries.keys()]
-      .filter((known) => callerlessOf(known) === common)
+      .filter((known) => withoutCaller(known) === requestDigest)
       .flatMap((known) => this.clear(known, nowMs));
   }
 
-  /** Takes what another node knows; gives back what of it is new here. */
+  /** Merges suspicions of another node; returns those that changed an entry. */
   merge(suspicions: readonly Suspicion[], nowMs: number): Suspicion[] {
-    return suspicions.flatMap((told) =>
-      this.change(told.fingerprint, nowMs, (entry) => entry.merge(told, nowMs)),
+    return suspicions.flatMap((received) =>
+      this.update(received.fingerprint, nowMs, (entry) => entry.merge(received, nowMs)),
     );
   }
 
-  /** All that is known, what is most suspected first. */
+  /** All suspicions, those with the most counted crashes first. */
   list(nowMs: number): Suspicion[] {
     return [...this.entries.values()]
-      .sort((left, right) => right.crashCount - left.crashCount)
+      .sort((left, right) => right.activeCrashCount - left.activeCrashCount)
       .map((entry) => entry.toSuspicion(nowMs));
   }
 
-  /** How many requests are contained. */
+  /** Number of contained requests. */
   containedCount(nowMs: number): number {
     return [...this.entries.keys()].filter((one) => this.standingOf(one, nowMs) === 'contained')
       .length;
   }
 
-  /** Forgets what has expired; to be called now and then. */
+  /** Removes expired entries; to be called regularly. */
   expire(nowMs: number): void {
     for (const entry of this.entries.values()) {
       if (entry.expiresAtMs <= nowMs) {
@@ -109,67 +109,74 @@
   }
 
   private groupOf(fingerprint: string): SuspicionGroup | undefined {
-    return this.groups.get(callerlessOf(fingerprint));
+    return this.groups.get(withoutCaller(fingerprint));
   }
 
   private isAccused(fingerprint: string): boolean {
-    return (this.groupOf(fingerprint)?.crashCountOf(fingerprint) ?? 0) >= CRASHES_TO_ACCUSE;
+    return (this.groupOf(fingerprint)?.activeCrashCountOf(fingerprint) ?? 0) >= CRASHES_TO_ACCUSE;
   }
 
-  private change(
+  private update(
     fingerprint: string,
     nowMs: number,
     apply: (entry: SuspicionEntry) => boolean,
   ): Suspicion[] {
     const entry = this.entries.get(fingerprint) ?? new SuspicionEntry(fingerprint);
-    return apply(entry) ? this.changed(entry, nowMs) : [];
+    return apply(entry) ? this.storeChanged(entry, nowMs) : [];
   }
 
-  /** Keeps a changed entry, and gives what is to be told of it. */
-  private changed(entry: SuspicionEntry, nowMs: number): Suspicion[] {
-    if (entry.expiresAtMs <= nowMs || !this.keep(entry)) {
+  /** Stores a changed entry; returns the suspicion to share with other nodes, if any. */
+  private storeChanged(entry: SuspicionEntry, nowMs: number): Suspicion[] {
+    if (entry.expiresAtMs <= nowMs || !this.insert(entry)) {
       return [];
     }
-    this.knownDigest = undefined;
+    this.cachedDigest = undefined;
     return [entry.toSuspicion(nowMs)];
   }
 
-  /** False when the table is full of requests that are more suspected. */
-  private keep(entry: SuspicionEntry): boolean {
+  /** Adds the entry if it is new; false when the table is full and no entry can be evicted for it. */
+  private insert(entry: SuspicionEntry): boolean {
     const { fingerprint } = entry;
     if (this.entries.has(fingerprint)) {
       return true;
     }
-    if (this.entries.size >= MAX_SUSPICIONS && !this.makeRoomFor(entry)) {
+    if (this.entries.size >= MAX_SUSPICIONS && !this.evictFor(entry)) {
       return false;
     }
     this.entries.set(fingerprint, entry);
-    const group = this.groupOf(fingerprint) ?? this.openGroup(fingerprint);
-    group.keep(entry);
+    const group = this.groupOf(fingerprint) ?? this.createGroup(fingerprint);
+    group.add(entry);
     return true;
   }
 
-  private openGroup(fingerprint: string): SuspicionGroup {
+  private createGroup(fingerprint: string): SuspicionGroup {
     const group = new SuspicionGroup();
-    this.groups.set(callerlessOf(fingerprint), group);
-    const head = headOf(fingerprint);
-    this.heads.set(head, (this.heads.get(head) ?? 0) + 1);
+    this.groups.set(withoutCaller(fingerprint), group);
+    const head = headDigestOf(fingerprint);
+    this.groupCountByHead.set(head, (this.groupCountByHead.get(head) ?? 0) + 1);
     return group;
   }
 
-  /** What is contained stays: a caller that sends ever new requests must not set the others free. */
-  private makeRoomFor(newcomer: SuspicionEntry): boolean {
-    let least: SuspicionEntry | undefined;
+  /**
+   * Evicts the least suspected entry. An entry with enough crashes to be contained is evicted only for another such
+   * entry, so that a caller that keeps sending new requests cannot displace contained ones.
+   */
+  private evictFor(added: SuspicionEntry): boolean {
+    let leastSuspected: SuspicionEntry | undefined;
     for (const entry of this.entries.values()) {
-      if (least === undefined || isLess(entry, least)) {
-        least = entry;
+      if (leastSuspected === undefined || isLessSuspected(entry, leastSuspected)) {
+        leastSuspected = entry;
       }
     }
-    const mayGo = least !== undefined && least.crashCount < CRASHES_TO_CONTAIN;
-    if (least === undefined || (!mayGo && newcomer.crashCount < CRASHES_TO_CONTAIN)) {
+    const isEvictable =
+      leastSuspected !== undefined && leastSuspected.activeCrashCount < CRASHES_TO_CONTAIN;
+    if (
+      leastSuspected === undefined ||
+      (!isEvictable && added.activeCrashCount < CRASHES_TO_CONTAIN)
+    ) {
       return false;
     }
-    this.remove(least);
+    this.remove(leastSuspected);
     return true;
   }
 
@@ -177,32 +184,32 @@
     const { fingerprint } = entry;
     const group = this.groupOf(fingerprint);
     this.entries.delete(fingerprint);
-    this.knownDigest = undefined;
+    this.cachedDigest = undefined;
     group?.remove(entry);
     if (group?.size === 0) {
-      this.closeGroup(fingerprint);
+      this.removeGroup(fingerprint);
     }
   }
 
-  private closeGroup(fingerprint: string): void {
-    this.groups.delete(callerlessOf(fingerprint));
-    const head = headOf(fingerprint);
-    const others = (this.heads.get(head) ?? 0) - 1;
-    if (others > 0) {
-      this.heads.set(head, others);
+  private removeGroup(fingerprint: string): void {
+    this.groups.delete(withoutCaller(fingerprint));
+    const head = headDigestOf(fingerprint);
+    const remaining = (this.groupCountByHead.get(head) ?? 0) - 1;
+    if (remaining > 0) {
+      this.groupCountByHead.set(head, remaining);
     } else {
-      this.heads.delete(head);
+      this.groupCountByHead.delete(head);
     }
   }
 }
 
-function isLess(left: SuspicionEntry, right: SuspicionEntry): boolean {
-  return left.crashCount !== right.crashCount
-    ? left.crashCount < right.crashCount
+function isLessSuspected(left: SuspicionEntry, right: SuspicionEntry): boolean {
+  return left.activeCrashCount !== right.activeCrashCount
+    ? left.activeCrashCount < right.activeCrashCount
     : left.expiresAtMs < right.expiresAtMs;
 }
 
-/** A sum, so that the order of the entries makes no difference. */
+/** Sums the hashes of the entries, so that their order does not matter. */
 function digestOf(entries: Iterable<SuspicionEntry>): number {
   let sum = 0;
   for (const entry of entries) {
--- a/src/containment/suspicion.ts
+++ b/src/containment/suspicion.ts
@@ -1,71 +1,72 @@
-/** What nodes know, and tell each other, of requests under which endpoints ended. */
+/** What nodes know and exchange about requests that endpoints were processing when they crashed. */
 
-/** What is known against one request. Crashes are ends of an endpoint's process, by their names. */
+/** The crashes attributed to one request. A crash is the end of an endpoint's process, identified by an id. */
 export interface Suspicion {
   /** See {@link RequestFingerprint}. */
   readonly fingerprint: string;
-  /** Time since its newest crash, in milliseconds. */
+  /** Time since the newest crash, in milliseconds. */
   readonly ageMs: number;
-  /** The crashes at which it was at work. */
+  /** Ids of the crashes during which the request was being processed. */
   readonly crashes: readonly string[];
-  /** Those of them that count no more: the request was answered since, or an operator let it go. */
+  /** Ids of the crashes that no longer count, because the request was answered since or an operator released it. */
   readonly cleared: readonly string[];
 }
 
-/** A suspicion as operators see it. */
+/** A suspicion as reported to operators. */
 export interface SuspicionReport extends Suspicion {
   readonly standing: Standing;
-  /** How much longer the request is contained, in milliseconds; 0 when it is not. */
+  /** Time for which the request remains contained, in milliseconds; 0 when it is not contained. */
   readonly containedForMs: number;
 }
 
-/** Requests under suspicion, as operators see them. */
+/** Access to the suspicions for operators. */
 export interface SuspicionView {
   report(): readonly SuspicionReport[];
-  /** Lets a request go; false when nothing stood against it. */
+  /** Clears a request for all callers; false when no crash counted against it. */
   release(fingerprint: string): boolean;
 }
 
 /**
- * - `clear`: nothing stands against the request.
- * - `suspect`: an endpoint ended while it was at work.
- * - `accused`: two did, or it was contained and its time is over: it is tried alone, at one endpoint.
- * - `contained`: three did: it is not sent to endpoints.
+ * - `clear`: no crash counts against the request.
+ * - `suspect`: one endpoint crashed while processing the request.
+ * - `accused`: two endpoints crashed, or the containment period is over. The request is tried at one endpoint,
+ *   without other suspects.
+ * - `contained`: three endpoints crashed. The request is not sent to endpoints.
  */
 export type Standing = 'clear' | 'suspect' | 'accused' | 'contained';
 
-/** Hexadecimal digits of the name of a crash. */
-export const CRASH_NAME_DIGITS = 12;
-/** Crashes that make a request `accused`. */
+/** Hexadecimal digits of a crash id. */
+export const CRASH_ID_DIGITS = 12;
+/** Number of crashes that make a request `accused`. */
 export const CRASHES_TO_ACCUSE = 2;
-/** Crashes that make a request `contained`: one may be another's doing, three in a row are not. */
+/** Number of crashes that make a request `contained`: one may have another cause, three in a row do not. */
 export const CRASHES_TO_CONTAIN = 3;
-/** Crashes that are kept of one request at most. */
+/** Maximum number of crashes stored for one request. */
 export const MAX_CRASHES = 8;
 
 /**
- * Time for which a request is contained after its third crash, in milliseconds; each further crash doubles
- * it. Long beside the seconds in which an endpoint is back, short beside a working day: a request that
- * was mended meanwhile is served again without anybody's help, at the price of one endpoint otherwise.
+ * Containment period after the third crash of a request, in milliseconds; each further crash doubles it. Long
+ * compared with the seconds that an endpoint needs to restart, short compared with a working day: a request whose
+ * fault has been fixed is served again without intervention, at the cost of one more crash if it has not.
  */
 export const CONTAINED_MS = 5 * 60_000;
-/** The longest such time, in milliseconds. */
+/** Maximum containment period, in milliseconds. */
 export const MAX_CONTAINED_MS = 2 * 3_600_000;
-/** Time for which a request is kept in mind besides, in milliseconds. */
-const REMEMBERED_MS = 5 * 60_000;
+/** Time for which an entry is retained beyond its containment period, in milliseconds. */
+const RETENTION_MS = 5 * 60_000;
 
-/** How long a request with so many crashes is contained after the newest one, in milliseconds. */
+/** Containment period of a request with this many crashes, from the newest one, in milliseconds. */
 export function containedMs(crashes: number): number {
   const doublings = crashes - CRASHES_TO_CONTAIN;
   return doublings < 0 ? 0 : Math.min(MAX_CONTAINED_MS, CONTAINED_MS * 2 ** doublings);
 }
 
-/** How long a request with so many crashes is kept in mind after the newest one, in milliseconds. */
-export function rememberedMs(crashes: number): number {
-  return containedMs(crashes) + REMEMBERED_MS;
+/** Retention period of a request with this many crashes, from the newest one, in milliseconds. */
+export function retentionMs(crashes: number): number {
+  return containedMs(crashes) + RETENTION_MS;
 }
 
-/** The standing of a request with so many crashes that count, the newest of which was `ageMs` ago. */
+/** The standing of a request with this many counted crashes, the newest of which was `ageMs` ago. */
 export function standingAfter(crashes: number, ageMs: number): Standing {
   if (crashes >= CRASHES_TO_CONTAIN && ageMs < containedMs(crashes)) {
     return 'contained';
--- a/src/peers/delta-fetch.ts
+++ b/src/peers/delta-fetch.ts
@@ -1,11 +1,11 @@
 /** Fetches from a peer what changed after a revision. */
 import http from 'node:http';
-import { ProgressTimer, type ProgressBounds } from '../clock/progress-timer.js';
+import { ProgressTimer, type ProgressTimeouts } from '../clock/progress-timer.js';
 import type { FeedDelta } from './feed-delta.js';
 import { decodeDelta, MAX_MESSAGE_LENGTH } from './feed-message.js';
 
 /** How long an answer may take; one that never ends would keep this node from asking anybody else. */
-const FETCH_BOUNDS: ProgressBounds = { beginMs: 800, idleMs: 800 };
+const FETCH_BOUNDS: ProgressTimeouts = { beginMs: 800, idleMs: 800 };
 const OK_STATUS = 200;
 /** Path of the changes since a revision, which follows it. */
 export const CHANGES_PATH = '/changes/';
@@ -27,10 +27,10 @@
     });
     request.on('response', (message) => {
       let text = '';
-      timer.progressed();
+      timer.recordProgress();
       message.setEncoding('utf8');
       message.on('data', (chunk: string) => {
-        timer.progressed();
+        timer.recordProgress();
         text += chunk;
         if (text.length > MAX_MESSAGE_LENGTH) {
           request.destroy();
--- a/src/peers/source-choice.ts
+++ b/src/peers/source-choice.ts
@@ -6,7 +6,7 @@
  * be up to date, and asks the store itself after a random wait, so that a fleet that the store fails
  * asks it a bounded number of times a second, whatever its size. Pure: events in, effects out.
  */
-import { MAX_TRANSFER_MS, type Lateness } from '../clock/progress-timer.js';
+import { MAX_TRANSFER_MS, type TimeoutReason } from '../clock/progress-timer.js';
 import type { RandomSource } from '../control/control-event.js';
 import { FOLLOWERS_PER_NODE, type ReaderPlace } from './reader-order.js';
 
@@ -57,7 +57,7 @@
 
 /** Why a feed is given up. */
 export interface FeedFailure {
-  readonly reason: Lateness;
+  readonly reason: TimeoutReason;
   /** How long that was so, in milliseconds. */
   readonly afterMs: number;
 }
--- a/src/peers/suspicion-gossip.ts
+++ b/src/peers/suspicion-gossip.ts
@@ -5,7 +5,7 @@
  */
 import type { RandomSource } from '../control/control-event.js';
 import type { Suspicion } from '../containment/suspicion.js';
-import { fitting } from '../containment/suspicion-layout.js';
+import { limitToBytes } from '../containment/suspicion-layout.js';
 
 /**
  * Peers to which a node passes on what is new to it. Of so many that each tell four, 98% hear of it without
@@ -64,13 +64,16 @@
   /** What is most suspected; where that does not fit, any part of it, so that all gets told in time. */
   private selection(): readonly Suspicion[] {
     const all = this.options.list();
-    const fit = fitting(all, MAX_NEWS_BYTES);
+    const fit = limitToBytes(all, MAX_NEWS_BYTES);
     if (fit.length === all.length) {
       return all;
     }
     const beginsAt = Math.floor(this.options.random() * all.length);
-    const firstHalf = fitting(all, MAX_NEWS_BYTES / 2);
-    const others = fitting([...all.slice(beginsAt), ...all.slice(0, beginsAt)], MAX_NEWS_BYTES / 2);
+    const firstHalf = limitToBytes(all, MAX_NEWS_BYTES / 2);
+    const others = limitToBytes(
+      [...all.slice(beginsAt), ...all.slice(0, beginsAt)],
+      MAX_NEWS_BYTES / 2,
+    );
     return [...firstHalf, ...others];
   }
 
@@ -92,7 +95,7 @@
   const packets: (readonly Suspicion[])[] = [];
   let rest = suspicions;
   while (rest.length > 0) {
-    const packet = fitting(rest, MAX_NEWS_BYTES);
+    const packet = limitToBytes(rest, MAX_NEWS_BYTES);
     packets.push(packet);
     rest = rest.slice(Math.max(1, packet.length));
   }
--- a/src/proxy/attempted-endpoint.ts
+++ b/src/proxy/attempted-endpoint.ts
@@ -35,7 +35,7 @@
     const { selector, scheduler } = this.context.services;
     this.endpoint = endpoint;
     this.beganAtMs = scheduler.now();
-    selector.began(endpoint, this.beganAtMs);
+    selector.attemptStarted(endpoint, this.beganAtMs);
   }
 
   /** The time until now counts as the endpoint's latency. */
@@ -45,7 +45,7 @@
     // Late work waits behind all other: its time says nothing of what work in time would take.
     if (this.endpoint !== undefined && !isLate) {
       const latencyMs = nowMs - this.beganAtMs;
-      services.selector.measured(this.endpoint, this.workClass, latencyMs, nowMs);
+      services.selector.latencyMeasured(this.endpoint, this.workClass, latencyMs, nowMs);
     }
   }
 
@@ -54,7 +54,7 @@
     const { selector, scheduler } = this.context.services;
     const observation = loadObservationOf(load, error, this.workClass);
     if (this.endpoint !== undefined && observation !== undefined) {
-      selector.observedLoad(this.endpoint, observation, scheduler.now());
+      selector.loadObserved(this.endpoint, observation, scheduler.now());
     }
   }
 
@@ -64,7 +64,7 @@
       const { services, match } = this.context;
       const refusalClass = refusalClassOf(match.route, isLate);
       const nowMs = services.scheduler.now();
-      services.selector.refusedWork(this.endpoint, refusalClass, retryAfterMs, nowMs);
+      services.selector.workRefused(this.endpoint, refusalClass, retryAfterMs, nowMs);
     }
   }
 
@@ -73,7 +73,7 @@
     const { services, snapshot, match } = this.context;
     if (this.endpoint !== undefined) {
       const peers = services.endpointsOf(snapshot, match.service);
-      services.selector.ended(this.endpoint, outcome, peers, services.scheduler.now());
+      services.selector.attemptEnded(this.endpoint, outcome, peers, services.scheduler.now());
       this.endpoint = undefined;
     }
   }
--- a/src/proxy/endpoint-gate.ts
+++ b/src/proxy/endpoint-gate.ts
@@ -1,5 +1,5 @@
 /** Admission to one endpoint. Executes the effects of {@link EndpointAdmission}. */
-import { ColdMeter } from '../admission/cold-meter.js';
+import { ColdStartLimiter } from '../admission/cold-start-limiter.js';
 import {
   EndpointAdmission,
   type AdmissionEffect,
@@ -50,7 +50,7 @@
 /** The slots of one incarnation of an endpoint and the requests for them. */
 export class EndpointGate implements CallGate {
   private readonly admission: EndpointAdmission;
-  private readonly meter: ColdMeter;
+  private readonly meter: ColdStartLimiter;
   private cancelResume: CancelTimer | undefined;
   /** The endpoint as the configuration had it last. */
   private configured: Endpoint | undefined;
@@ -73,7 +73,7 @@
     startedAtMs = -Infinity,
   ) {
     const { maxQueuedPerEndpoint, maxQueuedPerSlot } = options;
-    this.meter = new ColdMeter(startedAtMs);
+    this.meter = new ColdStartLimiter(startedAtMs);
     this.admission = new EndpointAdmission(
       slots,
       maxQueuedPerEndpoint,
@@ -160,7 +160,7 @@
   }
 
   gaveUp({ workClass }: Call, elapsedMs: number): void {
-    this.admission.unfinished(workClass, elapsedMs);
+    this.admission.recordUnfinished(workClass, elapsedMs);
   }
 
   judgeLoss(gated: GatedCall, report: (hasEnded: boolean) => void): void {
@@ -186,7 +186,7 @@
   }
 
   takeOutcome(hasFailed: boolean): void {
-    this.failures.take(hasFailed, this.options.scheduler.now());
+    this.failures.record(hasFailed, this.options.scheduler.now());
   }
 
   takeRefusal(load: LoadReport | undefined): void {
@@ -220,7 +220,7 @@
    */
   handOver(next: EndpointGate): void {
     const waiting = [...this.calls.values()].filter((gated) => this.takeOut(gated));
-    this.admission.handOverPlaces(next.admission);
+    this.admission.transferReservations(next.admission);
     if (startedBefore(this.endpoint, next.endpoint)) {
       this.losses.succeeded();
     }
@@ -322,9 +322,9 @@
     const news = coldNewsOf(endpoint, this.configured);
     const nowMs = this.options.scheduler.now();
     if (news?.kind === 'told') {
-      this.meter.takeNews(news.coldForMs, nowMs);
+      this.meter.updateColdPeriod(news.coldForMs, nowMs);
     } else if (news !== undefined) {
-      this.meter.presumeCold(nowMs);
+      this.meter.assumeCold(nowMs);
     }
   }
 
@@ -332,7 +332,7 @@
   private scheduleResume(): void {
     this.cancelResume?.();
     const { scheduler } = this.options;
-    const delayMs = this.admission.resumesInMs(scheduler.now());
+    const delayMs = this.admission.resumeDelayMs(scheduler.now());
     this.cancelResume =
       delayMs === undefined
         ? undefined
@@ -404,6 +404,6 @@
   }
 
   private get isHeldForCold(): boolean {
-    return this.admission.resumesInMs(this.options.scheduler.now()) !== undefined;
+    return this.admission.resumeDelayMs(this.options.scheduler.now()) !== undefined;
   }
 }
--- a/src/proxy/endpoint-states.ts
+++ b/src/proxy/endpoint-states.ts
@@ -1,7 +1,7 @@
 /** Endpoints as the request path of one node sees them, for the status page. */
 import type { Endpoint } from '../model/resource.js';
 import type { Snapshot } from '../model/snapshot.js';
-import type { EndpointSight } from '../routing/endpoint-selector.js';
+import type { EndpointObservation } from '../routing/endpoint-selector.js';
 
 /**
  * - `ready`: may get new work.
@@ -25,7 +25,7 @@
 
 /** What the parts of the request path know of an endpoint. */
 export interface EndpointKnowledge {
-  sightOf(endpoint: Endpoint): EndpointSight | undefined;
+  sightOf(endpoint: Endpoint): EndpointObservation | undefined;
   /** Whether the machine's node has said that it leaves. */
   isLeaving(endpoint: Endpoint): boolean;
   /** Whether this node has a way to the endpoint. */
--- a/src/proxy/pause-detector.ts
+++ b/src/proxy/pause-detector.ts
@@ -3,7 +3,7 @@
  * old: its senders may have given up long ago, which shows only when their closing is read too. A signal that it
  * hears of then may be as old as the pause.
  */
-import { LOOK_INTERVAL_MS } from '../clock/shared-interval.js';
+import { CHECK_INTERVAL_MS } from '../clock/shared-interval.js';
 
 /** A gap between two looks that counts as a pause, in milliseconds. */
 const PAUSE_MS = 400;
@@ -15,7 +15,7 @@
  * For this long after a late look, a signal that is heard of may have come before it, in milliseconds: a process that
  * gets the processor in short turns reads other things first.
  */
-const SIGNAL_PERIOD_MS = LOOK_INTERVAL_MS;
+const SIGNAL_PERIOD_MS = CHECK_INTERVAL_MS;
 
 /** A time between two looks in which the process did not run for a while. */
 interface LateLook {
@@ -43,12 +43,12 @@
 
   /** The regular look. */
   tick(nowMs: number): void {
-    this.onDelayMs?.(Math.max(0, nowMs - this.lastTickMs - LOOK_INTERVAL_MS));
+    this.onDelayMs?.(Math.max(0, nowMs - this.lastTickMs - CHECK_INTERVAL_MS));
     this.lastTickMs = nowMs;
     this.look(nowMs);
   }
 
-  /** Looks at the clock; to be called at least every {@link LOOK_INTERVAL_MS}. */
+  /** Looks at the clock; to be called at least every {@link CHECK_INTERVAL_MS}. */
   look(nowMs: number): void {
     if (nowMs - this.lastLookMs > PAUSE_MS) {
       this.wokenAtMs = nowMs;
@@ -75,6 +75,6 @@
   }
 
   private isLate(nowMs: number): boolean {
-    return nowMs - this.lastLookMs > LOOK_INTERVAL_MS + USUAL_LATENESS_MS;
+    return nowMs - this.lastLookMs > CHECK_INTERVAL_MS + USUAL_LATENESS_MS;
   }
 }
--- a/src/proxy/relay/relayed-request.ts
+++ b/src/proxy/relay/relayed-request.ts
@@ -7,7 +7,7 @@
 import { refusalLeadMs } from '../refusal-lead.js';
 import { DeadlinePassedError, TruncatedAnswerError, type RequestError } from '../request-error.js';
 import type { AbandonCause, AwaitedThing, RequestLog } from '../request-log.js';
-import { rankInTime } from '../../admission/work-rank.js';
+import { onTimeRank } from '../../admission/work-rank.js';
 import { stopFailure } from '../stop-failure.js';
 import type { CancelTimer, Scheduler } from '../scheduler.js';
 import { collectBody, isCollected } from './collected-body.js';
@@ -226,7 +226,7 @@
 
   private openCredit({ priority, bodyForm, bodyBytes }: RequestFrame): BodyCredit {
     return this.credits.open({
-      rank: rankInTime(priority),
+      rank: onTimeRank(priority),
       lengthBytes: bodyForm === 'sized' ? bodyBytes : undefined,
       grant: (creditBytes) => {
         this.link.send({ kind: 'credit', streamId: this.streamId, creditBytes });
--- a/src/proxy/request-proxy.ts
+++ b/src/proxy/request-proxy.ts
@@ -1,6 +1,6 @@
 /** The request path of a node: callers' port, relay port and everything between. */
 import type http from 'node:http';
-import { LOOKS, type EndAction } from '../clock/shared-interval.js';
+import { PERIODIC_CHECKS, type StopAction } from '../clock/shared-interval.js';
 import { NO_CONTAINMENT } from '../containment/containment.js';
 import { incarnationOf } from '../model/incarnation.js';
 import type { Endpoint } from '../model/resource.js';
@@ -63,7 +63,7 @@
   private readonly pauses: PauseDetector;
   private readonly lateness = new LoopLateness();
   private readonly poll = new SocketPoll();
-  private readonly endLooks: EndAction;
+  private readonly endLooks: StopAction;
   private readonly meter = new CallMeter(() => MACHINE_TIME.now());
   private readonly plannedStop: PlannedStop;
   private readonly intake: RequestIntake;
@@ -125,7 +125,7 @@
       (ms) => this.takeLoopDelay(ms),
       (action) => this.afterRead(action),
     );
-    this.endLooks = LOOKS.add(() => this.look());
+    this.endLooks = PERIODIC_CHECKS.add(() => this.look());
     this.callerServer = this.makeCallerServer();
     this.relay = this.makeRelayServer();
   }
@@ -141,7 +141,7 @@
     }
     const { members } = this.options;
     return reportEndpointStates(snapshot, {
-      sightOf: (endpoint) => this.services.selector.sightOf(endpoint, MACHINE_TIME.now()),
+      sightOf: (endpoint) => this.services.selector.observationOf(endpoint, MACHINE_TIME.now()),
       isLeaving: ({ spec }) =>
         spec.machine !== undefined && members.status(spec.machine) === 'leaving',
       isReachable: (endpoint) => this.services.pathTo(endpoint) !== undefined,
--- a/src/proxy/scheduler.ts
+++ b/src/proxy/scheduler.ts
@@ -1,6 +1,6 @@
 /** Time for the request path: the machine's in the product, a virtual one under the fuzzer. */
 import { MACHINE_CLOCK } from '../clock/machine-clock.js';
-import { SuspendableTimers } from '../clock/suspendable-timers.js';
+import { SuspensionAwareTimers } from '../clock/suspension-aware-timers.js';
 
 /** A monotonic clock with timers. */
 export interface Scheduler {
@@ -13,8 +13,8 @@
 /** Cancels a timer; nothing happens when it has run. */
 export type CancelTimer = () => void;
 
-const MACHINE_TIMERS = new SuspendableTimers(() => MACHINE_CLOCK.now());
-MACHINE_CLOCK.onSuspension(() => MACHINE_TIMERS.setAnew());
+const MACHINE_TIMERS = new SuspensionAwareTimers(() => MACHINE_CLOCK.now());
+MACHINE_CLOCK.onSuspension(() => MACHINE_TIMERS.reschedule());
 
 /** The machine's time. */
 export const MACHINE_TIME: Scheduler = {
--- a/src/routing/candidate-sample.ts
+++ b/src/routing/candidate-sample.ts
@@ -1,69 +1,72 @@
 /**
- * Draws the endpoints that a choice compares, so that a choice costs the same however many endpoints a
- * service has: the one beside this node, some of the own zone, some of all. Pure: random numbers are
- * passed in.
+ * Samples the endpoints that a selection compares, so that its cost does not grow with the number of endpoints of
+ * a service: those on the node's machine, some of the node's zone, and some of all. Pure: random numbers are passed
+ * in.
  */
 import type { RandomSource } from '../control/control-event.js';
 import type { Endpoint } from '../model/resource.js';
 
-/** Endpoints that are compared at most, besides those on the node's own machine. */
-export const MAX_COMPARED = 12;
+/** Maximum number of sampled endpoints, besides those on the node's machine. */
+export const MAX_SAMPLED = 12;
 
-/** The endpoints of one service, divided once for each list. */
-interface DividedList {
-  /** On the node's own machine: they need no hop, and the node knows their load exactly. */
-  readonly beside: readonly Endpoint[];
-  /** Of the node's zone. */
-  readonly near: readonly Endpoint[];
+/** The endpoints of one service, partitioned once for each list. */
+interface PartitionedEndpoints {
+  /** On the node's machine: they need no hop, and the node knows their load exactly. */
+  readonly local: readonly Endpoint[];
+  /** In the node's zone. */
+  readonly sameZone: readonly Endpoint[];
   readonly all: readonly Endpoint[];
 }
 
-/** Where the node is that draws. */
-export interface SamplePlace {
+/** Location of the node. */
+export interface SampleLocation {
   readonly zone: string;
   readonly machineId?: string;
 }
 
-/** Draws for one node. */
+/** Samples endpoints for one node. */
 export class CandidateSample {
-  private readonly divided = new WeakMap<readonly Endpoint[], DividedList>();
+  private readonly partitionedLists = new WeakMap<readonly Endpoint[], PartitionedEndpoints>();
 
   constructor(private readonly random: RandomSource) {}
 
-  /** Some of the endpoints that `isUsable` takes: all of them where there are few, else a sample. */
+  /** Endpoints that `isUsable` accepts: all of them if the service has few endpoints, otherwise a sample. */
   draw(
     endpoints: readonly Endpoint[],
-    place: SamplePlace,
+    location: SampleLocation,
     isUsable: (endpoint: Endpoint) => boolean,
   ): Endpoint[] {
-    if (endpoints.length <= MAX_COMPARED) {
+    if (endpoints.length <= MAX_SAMPLED) {
       return endpoints.filter(isUsable);
     }
-    const { beside, near, all } = this.divide(endpoints, place);
-    const drawn = beside.filter(isUsable);
-    for (const list of [near, all]) {
+    const { local, sameZone, all } = this.partition(endpoints, location);
+    const drawn = local.filter(isUsable);
+    for (const list of [sameZone, all]) {
       drawn.push(
-        ...this.pick(list, MAX_COMPARED / 2, (one) => !drawn.includes(one) && isUsable(one)),
+        ...this.pick(list, MAX_SAMPLED / 2, (one) => !drawn.includes(one) && isUsable(one)),
       );
     }
     return drawn;
   }
 
-  private divide(endpoints: readonly Endpoint[], place: SamplePlace): DividedList {
-    let divided = this.divided.get(endpoints);
-    if (divided === undefined) {
-      const { zone, machineId } = place;
-      divided = {
-        beside: endpoints.filter(({ spec }) => spec.machine === (machineId ?? '')),
-        near: endpoints.filter(({ spec }) => spec.zone === zone),
+  private partition(
+    endpoints: readonly Endpoint[],
+    location: SampleLocation,
+  ): PartitionedEndpoints {
+    let partitioned = this.partitionedLists.get(endpoints);
+    if (partitioned === undefined) {
+      const { zone, machineId } = location;
+      partitioned = {
+        local: endpoints.filter(({ spec }) => spec.machine === (machineId ?? '')),
+        sameZone: endpoints.filter(({ spec }) => spec.zone === zone),
         all: endpoints,
       };
-      this.divided.set(endpoints, divided);
+      this.partitionedLists.set(endpoints, partitioned);
     }
-    return divided;
+    return partitioned;
   }
 
-  /** Walks the list from a random place in even steps; those that are skipped come last. */
+  /** Walks the list from a random index in even steps; skipped endpoints are visited in later passes. */
   private pick(
     endpoints: readonly Endpoint[],
     count: number,
--- a/src/routing/direct-access.ts
+++ b/src/routing/direct-access.ts
@@ -1,29 +1,29 @@
 /**
- * How much of an endpoint a node may use that is not beside it: the share of endpoints without a
- * node, or whose node is gone. Shares are small, so that the endpoint's limits hold although no one
- * place counts.
+ * How much of an endpoint's capacity nodes may use: the node on its machine, and other nodes when it has no node or
+ * its node is gone. The shares of other nodes are small, so that the endpoint's limits hold although no node counts
+ * all of its requests.
  */
 import type { Endpoint } from '../model/resource.js';
 import { hashFraction } from './hash-fraction.js';
 
-/** Connections of an endpoint kept free for cancellations and health. */
+/** Connections of an endpoint reserved for cancellations and health checks. */
 const RESERVED_CONNECTIONS = 6;
-/** Part of the slots that the nodes chosen for an orphaned endpoint use in all, on average. */
+/** Average share of the slots that the nodes chosen for an orphaned endpoint use in total. */
 const ORPHAN_SLOT_SHARE = 0.5;
 
-/** Requests at once for the node beside the endpoint. */
+/** Maximum concurrent requests of the node on the endpoint's machine. */
 export function ownedSlots({ spec }: Endpoint): number {
   return Math.max(1, Math.min(spec.slots, spec.maxConnections - RESERVED_CONNECTIONS));
 }
 
-/** Requests at once for each node, where an endpoint has no node: its slots are divided evenly. */
+/** Maximum concurrent requests of each node to an endpoint without a node; its slots are divided evenly. */
 export function sharedSlots(endpoint: Endpoint, nodeCount: number): number {
   return Math.max(1, Math.floor(ownedSlots(endpoint) / Math.max(1, nodeCount)));
 }
 
 /**
- * Part of what a cold endpoint bears for the node `machineId`: all of it beside the endpoint, an even one where it
- * has no node, none where its own node is gone, which may still send.
+ * Share of a cold endpoint's request limit for the node `machineId`: the full limit on the endpoint's machine, an
+ * equal share if the endpoint has no node, and 0 if its node is gone, because that node may still send.
  */
 export function coldShare({ spec }: Endpoint, machineId: string, nodeCount: number): number {
   if (spec.machine === undefined) {
@@ -33,12 +33,11 @@
 }
 
 /**
- * Requests at once for the node `machineId`, where the endpoint's own node is gone: one for the
- * nodes that a hash of both names chooses, about half as many nodes as there are slots; none for the
- * others.
+ * Maximum concurrent requests of the node `machineId` to an endpoint whose own node is gone: 1 for the nodes chosen
+ * by a hash of both names, about half as many as there are slots, and 0 for the others.
  */
 export function orphanSlots(endpoint: Endpoint, machineId: string, nodeCount: number): number {
   const chosenNodes = ownedSlots(endpoint) * ORPHAN_SLOT_SHARE;
-  const chance = chosenNodes / Math.max(1, nodeCount);
-  return hashFraction(`${machineId} ${endpoint.name}`) < chance ? 1 : 0;
+  const probability = chosenNodes / Math.max(1, nodeCount);
+  return hashFraction(`${machineId} ${endpoint.name}`) < probability ? 1 : 0;
 }
--- a/src/routing/endpoint-selector.ts
+++ b/src/routing/endpoint-selector.ts
@@ -1,6 +1,6 @@
 /**
- * Chooses the endpoint of an attempt out of those that may get it: by expected latency where the work
- * is known, else by zone and load. Pure: time and random numbers are passed in.
+ * Selects the endpoint of an attempt among the eligible ones: by expected latency if the kind of work is known,
+ * otherwise by zone and load. Pure: time and random numbers are passed in.
  */
 import type { RandomSource } from '../control/control-event.js';
 import { isInService } from '../model/evacuation.js';
@@ -18,125 +18,124 @@
 import { ZoneFirstStrategy } from './zone-first-strategy.js';
 import type { AttemptOutcome, LoadObservation } from './endpoint-record.js';
 
-/** At most this share of a service's endpoints is ejected at once. */
+/** Maximum share of a service's endpoints that is ejected at the same time. */
 const MAX_EJECTED_SHARE = 0.5;
-/** Records of endpoints that are gone are dropped when this many are kept. */
+/** Number of records from which idle ones are dropped. */
 const MAX_RECORDS = 20_000;
 
-/** What a choice depends on besides the records. */
+/** Inputs of a selection besides the records. */
 export interface SelectionContext extends ChoiceContext {
-  /** Incarnations of endpoints that the request has tried. */
+  /** Incarnations of the endpoints that the request has already tried. */
   readonly tried: ReadonlySet<string>;
   /** Whether the request may be used to probe an ejected endpoint. */
   readonly repeatable: boolean;
-  /** Whether the node may send new work there, by what it knows of members. */
+  /** Whether the endpoint may receive new requests according to the membership. */
   readonly mayReceive: (endpoint: Endpoint) => boolean;
 }
 
-/** One endpoint as this node's requests have found it. */
-export interface EndpointSight {
-  /** Requests of this node that are under way there. */
+/** State of one endpoint as observed by this node's requests. */
+export interface EndpointObservation {
+  /** Requests of this node in flight at the endpoint. */
   readonly inFlight: number;
   readonly isEjected: boolean;
   readonly isDraining: boolean;
 }
 
-/** What this node has seen of endpoints, and the choice among them. */
+/** Records of the endpoints that this node uses, and the selection among them. */
 export class EndpointSelector {
-  /** By incarnation: one that starts again under its name is an endpoint of which nothing is known. */
+  /** By incarnation, so that an endpoint that restarts under the same name has a new record. */
   private readonly records = new Map<string, EndpointRecord>();
-  /** The incarnation of each name that started last. */
-  private readonly newest = new Map<string, Endpoint>();
-  /** The same records by the configuration's objects, so that a choice builds no keys. */
-  private readonly recordsOfObjects = new WeakMap<Endpoint, EndpointRecord>();
-  /** Lists of endpoints that all have records. */
-  private readonly metLists = new WeakSet<readonly Endpoint[]>();
-  /** Records of endpoints that are ejected. */
+  /** Latest incarnation of each endpoint, by name. */
+  private readonly latestIncarnations = new Map<string, Endpoint>();
+  /** The same records by the endpoint objects of the configuration, so that a selection builds no keys. */
+  private readonly recordsByObject = new WeakMap<Endpoint, EndpointRecord>();
+  /** Lists whose endpoints all have records. */
+  private readonly registeredLists = new WeakSet<readonly Endpoint[]>();
+  /** Records of the ejected endpoints. */
   private readonly ejected = new Set<EndpointRecord>();
   private readonly sample: CandidateSample;
 
   private readonly zoneFirst: EndpointStrategy;
   private readonly leastLatency: EndpointStrategy;
 
-  /** `hopCost` is that of the way over another node, in place of the default. */
+  /** `hopCost` overrides the default cost of a hop over another node. */
   constructor(random: RandomSource, hopCost?: number) {
     this.sample = new CandidateSample(random);
     this.zoneFirst = new ZoneFirstStrategy(random);
     this.leastLatency = new LeastLatencyStrategy(random, hopCost);
   }
 
-  /** The endpoint for the next attempt, or undefined when none takes new work. */
+  /** The endpoint for the next attempt, or undefined when none accepts new requests. */
   choose(
     endpoints: readonly Endpoint[],
     context: SelectionContext,
     nowMs: number,
   ): Endpoint | undefined {
-    this.meet(endpoints, nowMs);
+    this.ensureRecords(endpoints, nowMs);
     const due = this.dueForProbe(endpoints, context, nowMs);
     if (due !== undefined) {
       return due;
     }
     const { work } = context;
     if (work === undefined) {
-      const open = this.openOf(endpoints, context, nowMs);
-      return this.zoneFirst.choose(healthyOf(open), context, nowMs)?.endpoint;
+      const eligible = this.eligibleOf(endpoints, context, nowMs);
+      return this.zoneFirst.choose(healthyOf(eligible), context, nowMs)?.endpoint;
     }
-    const willing = this.willingOf(endpoints, context, work, nowMs);
-    return this.leastLatency.choose(willing, context, nowMs)?.endpoint;
+    const candidates = this.candidatesFor(endpoints, context, work, nowMs);
+    return this.leastLatency.choose(candidates, context, nowMs)?.endpoint;
   }
 
-  /** An attempt at `endpoint` begins. */
-  began(endpoint: Endpoint, nowMs: number): void {
-    this.recordOf(endpoint, nowMs).began();
+  attemptStarted(endpoint: Endpoint, nowMs: number): void {
+    this.recordOf(endpoint, nowMs).attemptStarted();
   }
 
-  /** An attempt at `endpoint` is over. `peers` are the endpoints of its service. */
-  ended(
+  /** Records the outcome of an attempt. `peers` are the endpoints of its service. */
+  attemptEnded(
     endpoint: Endpoint,
     outcome: AttemptOutcome,
     peers: readonly Endpoint[],
     nowMs: number,
   ): void {
     const record = this.recordOf(endpoint, nowMs);
-    record.ended(outcome, nowMs);
+    record.attemptEnded(outcome, nowMs);
     if (!record.isEjected) {
       this.ejected.delete(record);
     }
-    const isKept = this.records.get(incarnationOf(endpoint)) === record;
-    const mayEject = isKept && (record.isEjected || this.mayEjectOneMore(peers, nowMs));
+    const isCurrent = this.records.get(incarnationOf(endpoint)) === record;
+    const mayEject = isCurrent && (record.isEjected || this.mayEjectOneMore(peers, nowMs));
     if (mayEject && record.shouldEject(nowMs)) {
       record.eject(nowMs);
       this.ejected.add(record);
     }
   }
 
-  /** An attempt was answered, or given up, after `latencyMs`. */
-  measured(endpoint: Endpoint, workClass: string, latencyMs: number, nowMs: number): void {
+  /** Records the time after which an attempt was answered or given up. */
+  latencyMeasured(endpoint: Endpoint, workClass: string, latencyMs: number, nowMs: number): void {
     this.recordOf(endpoint, nowMs).latencies.measure(workClass, latencyMs, nowMs);
   }
 
-  /** The endpoint's node had no room for the class of work, and may have some after `holdMs`. */
-  refusedWork(endpoint: Endpoint, workClass: string, holdMs: number, nowMs: number): void {
-    this.recordOf(endpoint, nowMs).refusedWork(workClass, holdMs, nowMs);
+  /** Records that the endpoint's node refused the class of work and may have capacity again after `holdMs`. */
+  workRefused(endpoint: Endpoint, workClass: string, holdMs: number, nowMs: number): void {
+    this.recordOf(endpoint, nowMs).workRefused(workClass, holdMs, nowMs);
   }
 
-  /** What an answer or a refusal said of the load. */
-  observedLoad(endpoint: Endpoint, load: LoadObservation, nowMs: number): void {
+  /** Records the load reported with a response or a refusal. */
+  loadObserved(endpoint: Endpoint, load: LoadObservation, nowMs: number): void {
     this.recordOf(endpoint, nowMs).observeLoad(load, nowMs);
   }
 
-  /** Whether this node holds the endpoint for failing. */
+  /** Whether this node has ejected the endpoint because of failures. */
   isEjected(endpoint: Endpoint): boolean {
     return this.records.get(incarnationOf(endpoint))?.isEjected === true;
   }
 
-  /** Endpoints that this node holds for failing. */
+  /** Number of endpoints that this node has ejected because of failures. */
   get ejectedCount(): number {
     return this.ejected.size;
   }
 
-  /** What this node has seen of the endpoint; undefined when it has not considered it yet. */
-  sightOf(endpoint: Endpoint, nowMs: number): EndpointSight | undefined {
+  /** Observed state of the endpoint; undefined when this node has no record of it. */
+  observationOf(endpoint: Endpoint, nowMs: number): EndpointObservation | undefined {
     const record = this.records.get(incarnationOf(endpoint));
     return (
       record && {
@@ -147,7 +146,7 @@
     );
   }
 
-  /** An ejected endpoint that may be tried with this request. */
+  /** An ejected endpoint that may be probed with this request. */
   private dueForProbe(
     endpoints: readonly Endpoint[],
     context: SelectionContext,
@@ -158,7 +157,8 @@
     }
     return endpoints.find(
       (endpoint) =>
-        this.recordOf(endpoint, nowMs).isProbeDue(nowMs) && this.isOpen(endpoint, context, nowMs),
+        this.recordOf(endpoint, nowMs).isProbeDue(nowMs) &&
+        this.isEligible(endpoint, context, nowMs),
     );
   }
 
@@ -172,63 +172,66 @@
   }
 
   /**
-   * Endpoints to compare: a sample of those that would take the work; all that might, if it is empty.
-   * Late work waits behind all other: it goes to an endpoint with a free slot where one is known,
-   * however near a full one is.
+   * Endpoints to compare: a sample of those expected to accept the work or, if the sample is empty, all healthy
+   * ones that did not recently refuse it. Late work is queued behind all other work, so that it prefers endpoints
+   * with a free slot, however near a full one is.
    */
-  private willingOf(
+  private candidatesFor(
     endpoints: readonly Endpoint[],
     context: SelectionContext,
     work: WorkProfile,
     nowMs: number,
   ): readonly Candidate[] {
     const { workClass, refusalClass = workClass, isLate = false } = work;
-    const isWilling = (endpoint: Endpoint): boolean => {
+    const isCandidate = (endpoint: Endpoint): boolean => {
       const record = this.recordOf(endpoint, nowMs);
       return (
         !record.isEjected &&
         !record.isRefusing(refusalClass, nowMs) &&
         (!isLate || record.mayHaveFreeSlot(endpoint.spec.slots, nowMs)) &&
-        this.isOpen(endpoint, context, nowMs)
+        this.isEligible(endpoint, context, nowMs)
       );
     };
-    const drawn = this.sample.draw(endpoints, context, isWilling);
-    if (drawn.length > 0) {
-      return drawn.map((endpoint) => ({ endpoint, record: this.recordOf(endpoint, nowMs) }));
+    const sampled = this.sample.draw(endpoints, context, isCandidate);
+    if (sampled.length > 0) {
+      return sampled.map((endpoint) => ({ endpoint, record: this.recordOf(endpoint, nowMs) }));
     }
-    const usable = healthyOf(this.openOf(endpoints, context, nowMs));
+    const usable = healthyOf(this.eligibleOf(endpoints, context, nowMs));
     return usable.filter(({ record }) => !record.isRefusing(refusalClass, nowMs));
   }
 
-  private openOf(
+  private eligibleOf(
     endpoints: readonly Endpoint[],
     context: SelectionContext,
     nowMs: number,
   ): readonly Candidate[] {
     return endpoints
-      .filter((endpoint) => this.isOpen(endpoint, context, nowMs))
+      .filter((endpoint) => this.isEligible(endpoint, context, nowMs))
       .map((endpoint) => ({ endpoint, record: this.recordOf(endpoint, nowMs) }));
   }
 
-  /** Endpoints of a service that was not in use yet are taken as warm, later ones as cold. */
-  private meet(endpoints: readonly Endpoint[], nowMs: number): void {
-    if (this.metLists.has(endpoints)) {
+  /**
+   * Creates the missing records of a list. Endpoints of a service that had no records yet count as warm, those added
+   * later as cold.
+   */
+  private ensureRecords(endpoints: readonly Endpoint[], nowMs: number): void {
+    if (this.registeredLists.has(endpoints)) {
       return;
     }
-    this.metLists.add(endpoints);
-    const unmet = endpoints.filter((endpoint) => !this.recordsOfObjects.has(endpoint));
-    const unknown = unmet.filter((endpoint) => !this.records.has(incarnationOf(endpoint)));
+    this.registeredLists.add(endpoints);
+    const unregistered = endpoints.filter((endpoint) => !this.recordsByObject.has(endpoint));
+    const unknown = unregistered.filter((endpoint) => !this.records.has(incarnationOf(endpoint)));
     if (unknown.length === 0) {
       return;
     }
     const isCold = unknown.length < endpoints.length;
     for (const endpoint of unknown) {
       this.dropIdleRecords();
-      this.keep(endpoint, new EndpointRecord(nowMs, isCold), nowMs);
+      this.store(endpoint, new EndpointRecord(nowMs, isCold), nowMs);
     }
   }
 
-  private isOpen(endpoint: Endpoint, context: SelectionContext, nowMs: number): boolean {
+  private isEligible(endpoint: Endpoint, context: SelectionContext, nowMs: number): boolean {
     return (
       isInService(endpoint) &&
       !context.tried.has(incarnationOf(endpoint)) &&
@@ -243,34 +246,34 @@
   }
 
   private recordOf(endpoint: Endpoint, nowMs: number): EndpointRecord {
-    let record = this.recordsOfObjects.get(endpoint);
+    let record = this.recordsByObject.get(endpoint);
     if (record === undefined) {
       record = this.records.get(incarnationOf(endpoint)) ?? new EndpointRecord(nowMs, true);
-      this.keep(endpoint, record, nowMs);
-      this.recordsOfObjects.set(endpoint, record);
+      this.store(endpoint, record, nowMs);
+      this.recordsByObject.set(endpoint, record);
       const { coldForMs } = endpoint.spec;
       if (coldForMs !== undefined) {
-        record.takeColdNews(coldForMs, nowMs);
+        record.observeColdPeriod(coldForMs, nowMs);
       }
     }
     return record;
   }
 
-  /** Keeps the record, and none of the incarnation before: nothing is probed for its sake. */
-  private keep(endpoint: Endpoint, record: EndpointRecord, nowMs: number): void {
-    const held = this.newest.get(endpoint.name);
+  /** Stores the record and deletes that of the previous incarnation, so that the latter is not probed. */
+  private store(endpoint: Endpoint, record: EndpointRecord, nowMs: number): void {
+    const previous = this.latestIncarnations.get(endpoint.name);
     this.records.set(incarnationOf(endpoint), record);
-    if (held !== undefined && startedBefore(endpoint, held)) {
+    if (previous !== undefined && startedBefore(endpoint, previous)) {
       return;
     }
-    this.newest.set(endpoint.name, endpoint);
-    if (held !== undefined && incarnationOf(held) !== incarnationOf(endpoint)) {
-      record.succeedsAnother(nowMs);
-      this.forget(held);
+    this.latestIncarnations.set(endpoint.name, endpoint);
+    if (previous !== undefined && incarnationOf(previous) !== incarnationOf(endpoint)) {
+      record.markRestarted(nowMs);
+      this.deleteRecord(previous);
     }
   }
 
-  private forget(endpoint: Endpoint): void {
+  private deleteRecord(endpoint: Endpoint): void {
     const key = incarnationOf(endpoint);
     const record = this.records.get(key);
     if (record !== undefined) {
@@ -283,7 +286,7 @@
     if (this.records.size < MAX_RECORDS) {
       return;
     }
-    this.newest.clear();
+    this.latestIncarnations.clear();
     for (const [key, record] of this.records) {
       if (record.isIdle) {
         this.records.delete(key);
@@ -292,7 +295,7 @@
   }
 }
 
-/** The candidates that are not ejected; all of them where every one is. */
+/** The candidates that are not ejected; all candidates if every one is ejected. */
 function healthyOf(candidates: readonly Candidate[]): readonly Candidate[] {
   const healthy = candidates.filter(({ record }) => !record.isEjected);
   return healthy.length > 0 ? healthy : candidates;
--- a/src/routing/endpoint-strategy.ts
+++ b/src/routing/endpoint-strategy.ts
@@ -1,37 +1,37 @@
-/** How one endpoint is picked out of those that may get a request. Pure. */
+/** Strategies that select one of the endpoints eligible for a request. Pure. */
 import type { Endpoint } from '../model/resource.js';
 import type { EndpointRecord } from './endpoint-record.js';
 
-/** An endpoint and what this node has seen of it. */
+/** An endpoint and this node's record of it. */
 export interface Candidate {
   readonly endpoint: Endpoint;
   readonly record: EndpointRecord;
 }
 
-/** What kind of work is to be done. */
+/** The kind of work that a request causes. */
 export interface WorkProfile {
-  /** Requests of one class take about equally long. */
+  /** Class of work; requests of one class have similar service times. */
   readonly workClass: string;
-  /** Time within which an answer is worth most, in milliseconds. */
+  /** Target latency, after which a response loses value, in milliseconds. */
   readonly targetLatencyMs: number;
-  /** Class by which endpoints turn such work away; the class of work when absent. */
+  /** Class by which endpoints refuse such work; the class of work when absent. */
   readonly refusalClass?: string;
-  /** Whether the work waits behind all other, so that it goes where a slot may be free. */
+  /** Whether the work is queued behind all other work, so that it prefers endpoints with a free slot. */
   readonly isLate?: boolean;
 }
 
-/** What a choice depends on besides the candidates. */
+/** Inputs of a selection besides the candidates. */
 export interface ChoiceContext {
   /** Zone and region of this node. */
   readonly zone: string;
   readonly region: string;
-  /** The machine that this node runs on; endpoints on others are a hop away. */
+  /** The machine that this node runs on; endpoints on other machines cost a hop. */
   readonly machineId?: string;
-  /** Undefined where nothing is known of the work. */
+  /** Undefined when the kind of work is not known. */
   readonly work?: WorkProfile | undefined;
 }
 
-/** A way to choose. */
+/** Selects one of the candidates. */
 export interface EndpointStrategy {
   /** Undefined only when there is no candidate. */
   choose(
--- a/src/routing/failure-share.ts
+++ b/src/routing/failure-share.ts
@@ -1,30 +1,30 @@
-/** How many of the latest attempts at one endpoint failed. Pure: time is passed in. */
+/** Share of the recent attempts at one endpoint that failed. Pure: time is passed in. */
 
-/** Weight of one more outcome in the running share. */
+/** Weight of a new outcome in the moving average. */
 const OUTCOME_WEIGHT = 0.07;
-/** A share that is not renewed loses half of its weight in this time, so that it is tried again. */
+/** Half-life of the share without new outcomes, in milliseconds, so that a failing endpoint is tried again. */
 const HALF_LIFE_MS = 4_000;
 
-/** The running share, from 0 to 1. */
+/** Moving average of the outcomes, from 0 (all succeeded) to 1 (all failed). */
 export class FailureShare {
   private share = 0;
-  private atMs = 0;
+  private updatedAtMs = 0;
 
-  /** Takes the outcome of an attempt. */
-  take(hasFailed: boolean, nowMs: number): void {
+  /** Adds the outcome of an attempt. */
+  record(hasFailed: boolean, nowMs: number): void {
     const before = this.at(nowMs);
     const outcome = hasFailed ? 1 : 0;
     this.set(before + (outcome - before) * OUTCOME_WEIGHT, nowMs);
   }
 
-  /** Takes a share that one who sees more has measured. */
+  /** Replaces the share, for example by one reported by a node that observes more attempts. */
   set(share: number, nowMs: number): void {
     this.share = share;
-    this.atMs = nowMs;
+    this.updatedAtMs = nowMs;
   }
 
-  /** The share, drawn towards 0 as it ages. */
+  /** The share at `nowMs`; decays towards 0 with its age. */
   at(nowMs: number): number {
-    return this.share * 0.5 ** ((nowMs - this.atMs) / HALF_LIFE_MS);
+    return this.share * 0.5 ** ((nowMs - this.updatedAtMs) / HALF_LIFE_MS);
   }
 }
--- a/src/routing/hash-fraction.ts
+++ b/src/routing/hash-fraction.ts
@@ -1,4 +1,4 @@
-/** A hash of texts that is the same on every node, for choices that nodes make alike without talking. */
+/** A hash of strings that is equal on every node, so that nodes make the same choices without communication. */
 
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
--- a/src/routing/latency-estimates.ts
+++ b/src/routing/latency-estimates.ts
@@ -1,64 +1,69 @@
 /**
- * How long one endpoint takes, by class of work: by this node's requests, and by what the endpoint's own
- * node tells, which sees all of them. In a large fleet a node sends an endpoint a request in many
- * seconds, so that its own measurements are few and old. Pure.
+ * Latency estimates of one endpoint by class of work, from this node's own measurements and from the reports of the
+ * endpoint's node, which observes all requests. In a large fleet, many seconds pass between two requests from one
+ * node to one endpoint, so that the node's own measurements are few and old. Pure.
  */
 
-/** Weight of a new measurement in a running mean. */
+/** Weight of a new measurement in the moving average. */
 const MEASUREMENT_WEIGHT = 0.2;
-/** An estimate that is not renewed loses half of its weight in this time, in milliseconds. */
+/** Half-life of the weight of a measured estimate, in milliseconds. */
 const HALF_LIFE_MS = 4_000;
-/** What the endpoint's node told loses half of its weight in this time, in milliseconds. */
-const TOLD_HALF_LIFE_MS = 15_000;
-/** Classes remembered; beyond that, the one that was measured first is forgotten. */
+/** Half-life of the weight of a value reported by the endpoint's node, in milliseconds. */
+const REPORTED_HALF_LIFE_MS = 15_000;
+/** Maximum number of classes; beyond it, the class that was measured first is evicted. */
 const MAX_CLASSES = 500;
 
-/** A running mean and its age. */
+/** A mean and the time of its last update. */
 interface Estimate {
   readonly meanMs: number;
   readonly measuredAtMs: number;
 }
 
-/** The estimates of one endpoint. */
+/** Measured and reported estimates of one endpoint. */
 export class LatencyEstimates {
-  private readonly estimates = new Map<string, Estimate>();
-  private readonly toldTimes = new Map<string, Estimate>();
+  private readonly measuredEstimates = new Map<string, Estimate>();
+  private readonly reportedEstimates = new Map<string, Estimate>();
 
-  /** Takes a measurement; it weighs little against what the endpoint's node has told. */
+  /** Adds a measurement; it has little weight compared with a reported value. */
   measure(workClass: string, latencyMs: number, nowMs: number): void {
     const previous = this.expectedMs(workClass, latencyMs, nowMs);
     const meanMs = previous + (latencyMs - previous) * MEASUREMENT_WEIGHT;
-    this.estimates.set(workClass, { meanMs, measuredAtMs: nowMs });
-    forgetFirst(this.estimates);
+    this.measuredEstimates.set(workClass, { meanMs, measuredAtMs: nowMs });
+    evictOldest(this.measuredEstimates);
   }
 
-  /** Takes the mean over all requests there, as the endpoint's node told it. */
-  told(workClass: string, meanMs: number, nowMs: number): void {
-    this.toldTimes.set(workClass, { meanMs, measuredAtMs: nowMs });
-    forgetFirst(this.toldTimes);
+  /** Sets the mean over all requests, as reported by the endpoint's node. */
+  setReported(workClass: string, meanMs: number, nowMs: number): void {
+    this.reportedEstimates.set(workClass, { meanMs, measuredAtMs: nowMs });
+    evictOldest(this.reportedEstimates);
   }
 
-  /** The last mean that was told, whatever its age; undefined where there is none. */
-  lastToldMs(workClass: string): number | undefined {
-    return this.toldTimes.get(workClass)?.meanMs;
+  /** The last reported mean, regardless of its age; undefined when there is none. */
+  lastReportedMs(workClass: string): number | undefined {
+    return this.reportedEstimates.get(workClass)?.meanMs;
   }
 
-  /** The last mean, whatever its age; undefined where there is none. */
-  lastMs(workClass: string): number | undefined {
-    return this.estimates.get(workClass)?.meanMs;
+  /** The last measured mean, regardless of its age; undefined when there is none. */
+  lastMeasuredMs(workClass: string): number | undefined {
+    return this.measuredEstimates.get(workClass)?.meanMs;
   }
 
   /**
-   * The mean, drawn towards what was told as it ages, and that towards `fallbackMs`, so that a slow
-   * endpoint is tried again.
+   * The measured mean, which decays with its age towards the reported mean, which decays towards `fallbackMs`, so
+   * that a slow endpoint is tried again.
    */
   expectedMs(workClass: string, fallbackMs: number, nowMs: number): number {
-    const told = aged(this.toldTimes.get(workClass), fallbackMs, TOLD_HALF_LIFE_MS, nowMs);
-    return aged(this.estimates.get(workClass), told, HALF_LIFE_MS, nowMs);
+    const reportedMs = decayed(
+      this.reportedEstimates.get(workClass),
+      fallbackMs,
+      REPORTED_HALF_LIFE_MS,
+      nowMs,
+    );
+    return decayed(this.measuredEstimates.get(workClass), reportedMs, HALF_LIFE_MS, nowMs);
   }
 }
 
-function aged(
+function decayed(
   estimate: Estimate | undefined,
   fallbackMs: number,
   halfLifeMs: number,
@@ -71,7 +76,7 @@
   return fallbackMs + (estimate.meanMs - fallbackMs) * weight;
 }
 
-function forgetFirst(estimates: Map<string, Estimate>): void {
+function evictOldest(estimates: Map<string, Estimate>): void {
   if (estimates.size > MAX_CLASSES) {
     const [first = ''] = estimates.keys();
     estimates.delete(first);
--- a/src/routing/least-latency-strategy.ts
+++ b/src/routing/least-latency-strategy.ts
@@ -1,8 +1,8 @@
 /**
- * The candidate that costs least, as a share of what an answer in time is worth: how likely its answer
- * is late, by what this node has measured of it for the same class of work and the requests that are
- * there, how likely it fails, and its distance, since a hop costs two nodes' time and bytes between
- * zones have a price.
+ * Selects the candidate with the lowest cost, expressed as a share of the value of a response in time. The cost
+ * covers the probability of a late response, estimated from the latency of the same class of work and the requests
+ * in flight; the probability of a failure; and the distance, since a hop takes processor time on two nodes and
+ * traffic between zones is charged for.
  */
 import type { RandomSource } from '../control/control-event.js';
 import type {
@@ -12,28 +12,28 @@
   WorkProfile,
 } from './endpoint-strategy.js';
 
-/** Cost of an answer that is late. */
+/** Cost of a late response. */
 const LATE_COST = 0.7;
-/** How sharply the chance of a late answer rises where the expected latency nears the target. */
+/** Steepness with which the probability of a late response rises as the expected latency nears the target. */
 const LATE_STEEPNESS = 6;
-/** Cost of an expected latency as long as the target, besides the chance of being late. */
+/** Cost of an expected latency equal to the target, in addition to the cost of a late response. */
 const LATENCY_COST = 0.08;
-/** Cost of the way over another node: both nodes' processor time, besides the latency measured. */
+/** Cost of a hop over another node: processor time on both nodes, in addition to the measured latency. */
 export const DEFAULT_HOP_COST = 0.04;
-/** Cost of the bytes to another zone. */
+/** Cost of the traffic to another zone. */
 const ZONE_COST = 0.11;
-/** Cost of the bytes to another region. */
+/** Cost of the traffic to another region. */
 const REGION_COST = 0.4;
-/** Cost of an attempt that fails: it is lost, or made again out of the retry budget. */
+/** Cost of a failed attempt: the request is lost or consumes retry budget. */
 const FAILURE_COST = 0.8;
-/** Share of failures that costs nothing: single ones are no reason to leave the zone. */
+/** Failure share without cost, since single failures are no reason to leave the zone. */
 const TOLERATED_FAILURE_SHARE = 0.1;
-/** Load, as a share of the slots, from which a request is expected to wait. */
+/** Load, as a share of the slots, above which requests are expected to wait. */
 const WAITING_LOAD = 0.85;
-/** Costs differ by this share at random, so that nodes that know the same choose differently. */
+/** Maximum share added at random to the expected latency, so that nodes with the same information choose differently. */
 const JITTER = 0.1;
 
-/** The strategy. */
+/** Selects by expected latency, failures and distance. */
 export class LeastLatencyStrategy implements EndpointStrategy {
   constructor(
     private readonly random: RandomSource,
@@ -49,7 +49,7 @@
     if (work === undefined) {
       return candidates[0];
     }
-    const fallbackMs = unmeasuredMs(candidates, work);
+    const fallbackMs = defaultLatencyMs(candidates, work);
     let best: Candidate | undefined;
     let bestCost = Infinity;
     for (const candidate of candidates) {
@@ -80,23 +80,23 @@
 }
 
 /**
- * What is expected of an endpoint of which nothing is known: the mean of what nodes told of the others,
- * so that it goes before those that are slower; the fastest measured where nothing was told.
+ * Expected latency of an endpoint without any estimate: the mean of the values reported for the other candidates,
+ * so that it is preferred to slower ones, or the lowest measured value if none was reported.
  */
-function unmeasuredMs(candidates: readonly Candidate[], { workClass }: WorkProfile): number {
+function defaultLatencyMs(candidates: readonly Candidate[], { workClass }: WorkProfile): number {
   let fastestMs = Infinity;
-  let toldMs = 0;
-  let toldCount = 0;
+  let reportedSumMs = 0;
+  let reportedCount = 0;
   for (const { record } of candidates) {
-    fastestMs = Math.min(fastestMs, record.latencies.lastMs(workClass) ?? Infinity);
-    const told = record.latencies.lastToldMs(workClass);
-    if (told !== undefined) {
-      toldMs += told;
-      toldCount += 1;
+    fastestMs = Math.min(fastestMs, record.latencies.lastMeasuredMs(workClass) ?? Infinity);
+    const reportedMs = record.latencies.lastReportedMs(workClass);
+    if (reportedMs !== undefined) {
+      reportedSumMs += reportedMs;
+      reportedCount += 1;
     }
   }
-  if (toldCount > 0) {
-    return toldMs / toldCount;
+  if (reportedCount > 0) {
+    return reportedSumMs / reportedCount;
   }
   return Number.isFinite(fastestMs) ? fastestMs : 0;
 }
--- a/src/routing/retry-budget.ts
+++ b/src/routing/retry-budget.ts
@@ -1,11 +1,11 @@
-/** Bounds a service's retries to a share of its first attempts, so that retries can't multiply load. */
+/** Limits a service's retries to a share of its first attempts, so that retries cannot multiply the load. */
 
-/** Retries that may be saved up for a burst, unless the node's limits say otherwise. */
+/** Default number of retries that may be saved up for a burst. */
 export const DEFAULT_MAX_SAVED_RETRIES = 20;
-/** Retries that a service without traffic may make, at most. */
+/** Retries available to a service before its first attempts. */
 const INITIAL_RETRIES = 3;
 
-/** The retries that one node may make towards one service. */
+/** Retry budget of one node for one service. */
 export class RetryBudget {
   private retries: number;
 
@@ -19,12 +19,12 @@
     this.retries = Math.min(this.maxSaved, this.retries + percent / 100);
   }
 
-  /** Whether there is a retry to take. */
+  /** Whether a retry is available. */
   get hasRetry(): boolean {
     return this.retries >= 1;
   }
 
-  /** Takes one retry, if there is one. */
+  /** Consumes one retry; false when none is available. */
   take(): boolean {
     if (!this.hasRetry) {
       return false;
--- a/src/routing/route-table.ts
+++ b/src/routing/route-table.ts
@@ -1,18 +1,18 @@
-/** Finds the route of a request: the longest path prefix wins, then a named host. */
+/** Finds the route of a request: the longest path prefix has precedence, then a named host, then a method. */
 import type { Route } from '../model/resource.js';
 import { DEFAULT_REQUEST_TIMEOUT_MS } from '../model/resource-key.js';
 import type { Snapshot } from '../model/snapshot.js';
 
 const REPEATABLE_METHODS: ReadonlySet<string> = new Set(['GET', 'HEAD', 'OPTIONS']);
 
-/** What the route says of a request. */
+/** The properties that a route assigns to a request. */
 export interface RouteMatch {
   readonly route: Route;
   readonly service: string;
-  /** Whether the request may run more than once. */
+  /** Whether the request may be executed more than once. */
   readonly repeatable: boolean;
   readonly timeoutMs: number;
-  /** Retries allowed, as a percentage of first attempts. */
+  /** Maximum number of retries, as a percentage of first attempts. */
   readonly retryBudgetPercent: number;
 }
 
@@ -25,18 +25,18 @@
     this.services = services;
     for (const route of [...routes].sort(compareSpecificity)) {
       const { pathPrefix } = route.spec;
-      const alike = this.routesByPrefix.get(pathPrefix);
-      if (alike === undefined) {
+      const samePrefix = this.routesByPrefix.get(pathPrefix);
+      if (samePrefix === undefined) {
         this.routesByPrefix.set(pathPrefix, [route]);
       } else {
-        alike.push(route);
+        samePrefix.push(route);
       }
     }
   }
 
   /**
-   * `host` may carry a port; `path` has no query. `chooseTarget` names the service that gets the
-   * request, of a route that divides its requests.
+   * `host` may include a port; `path` has no query. `chooseTarget` selects the service that receives the request
+   * when a route has several targets.
    */
   match(
     host: string,
@@ -72,7 +72,7 @@
   }
 }
 
-/** Builds the table of a list of routes once: snapshots that differ in endpoints alone share it. */
+/** Caches the table of a list of routes; snapshots that differ only in endpoints share it. */
 export class RouteTableCache {
   private readonly tables = new WeakMap<readonly Route[], RouteTable>();
 
@@ -87,8 +87,8 @@
 }
 
 /**
- * The next shorter prefix that ends where a path segment ends, with its slash or without it: of
- * `/a/b` these are `/a/`, `/a` and `/`. Empty when there is none.
+ * The next shorter prefix that ends at a segment boundary, with or without the slash: for `/a/b`, these are `/a/`,
+ * `/a` and `/`. Empty when there is none.
  */
 function nextPrefix(prefix: string): string {
   return prefix.endsWith('/') ? prefix.slice(0, -1) : prefix.slice(0, prefix.lastIndexOf('/') + 1);
--- a/src/routing/trial-endpoint.ts
+++ b/src/routing/trial-endpoint.ts
@@ -1,13 +1,13 @@
-/** Where a request is tried that may end the endpoint which runs it. Pure. */
+/** Selects the endpoint at which a request that may crash its endpoint is tried. Pure. */
 import { isInService } from '../model/evacuation.js';
 import { incarnationOf } from '../model/incarnation.js';
 import type { Endpoint } from '../model/resource.js';
 import { hashFraction } from './hash-fraction.js';
 
 /**
- * The endpoint, none when all were tried: the same for all nodes that know the same endpoints, without a
- * word among them, so that its node can run one try at a time for the whole fleet (rendezvous hashing). The
- * names decide, not the incarnations: nodes that have not heard of a rebirth yet choose alike.
+ * The endpoint, or none when all were tried. Rendezvous hashing gives the same result at all nodes with the same
+ * endpoints, without communication, so that the endpoint's node can run one attempt at a time for the whole fleet.
+ * Hashes the names rather than the incarnations, so that nodes that do not yet know of a restart choose the same.
  */
 export function trialEndpoints(
   endpoints: readonly Endpoint[],
--- a/src/routing/weighted-targets.ts
+++ b/src/routing/weighted-targets.ts
@@ -1,52 +1,52 @@
 /**
- * Divides the requests of a route among its target services by weight (smooth weighted round robin),
- * so that the shares are exact over any few requests. Each node starts at a random place, so that the
- * first requests of many nodes do not all go to the heaviest target.
+ * Distributes the requests of a route among its target services by weight (smooth weighted round robin), so that
+ * the shares are exact even over few requests. Each node starts at a random position, so that the first requests of
+ * many nodes do not all go to the target with the highest weight.
  */
 import type { RandomSource } from '../control/control-event.js';
 import type { Route, RouteTarget } from '../model/resource.js';
 
-/** Turns that a node skips at its start, at most: as many as weights in percent need to come round. */
+/** Maximum number of turns that a node skips at its start: one full cycle of weights in percent. */
 const MAX_SKIPPED_TURNS = 100;
 
-/** The turn of each target of one route. */
-interface RouteTurns {
+/** Round-robin state of one route. */
+interface RoundRobinState {
   readonly targets: readonly RouteTarget[];
-  /** Credit of each target, in the order of `targets`; the highest is next. */
+  /** Credit of each target, in the order of `targets`; the target with the highest credit is next. */
   readonly credits: number[];
 }
 
-/** The turns of all routes that divide their requests. */
+/** Selects the target service for the requests of each route. */
 export class WeightedTargets {
-  private readonly turnsOfRoutes = new Map<string, RouteTurns>();
+  private readonly statesByRoute = new Map<string, RoundRobinState>();
 
   constructor(private readonly random: RandomSource) {}
 
-  /** The service that gets the next request of `route`. */
+  /** The service that receives the next request of `route`. */
   next(route: Route): string {
     const { targets, service } = route.spec;
     if (targets === undefined) {
       return service;
     }
-    return this.advance(this.turnsOf(route.name, targets)) ?? service;
+    return this.advance(this.stateOf(route.name, targets)) ?? service;
   }
 
-  /** Turns start anew when the targets of a route change. */
-  private turnsOf(routeName: string, targets: readonly RouteTarget[]): RouteTurns {
-    const known = this.turnsOfRoutes.get(routeName);
-    if (known !== undefined && isSameTargets(known.targets, targets)) {
-      return known;
+  /** The state of the route; reset when its targets change. */
+  private stateOf(routeName: string, targets: readonly RouteTarget[]): RoundRobinState {
+    const existing = this.statesByRoute.get(routeName);
+    if (existing !== undefined && isSameTargets(existing.targets, targets)) {
+      return existing;
     }
-    const turns = { targets, credits: targets.map(() => 0) };
+    const state = { targets, credits: targets.map(() => 0) };
     const skippedTurns = Math.floor(this.random() * MAX_SKIPPED_TURNS);
     for (let turn = 0; turn < skippedTurns; turn += 1) {
-      this.advance(turns);
+      this.advance(state);
     }
-    this.turnsOfRoutes.set(routeName, turns);
-    return turns;
+    this.statesByRoute.set(routeName, state);
+    return state;
   }
 
-  private advance({ targets, credits }: RouteTurns): string | undefined {
+  private advance({ targets, credits }: RoundRobinState): string | undefined {
     let totalWeight = 0;
     let bestIndex = -1;
     targets.forEach(({ weight }, index) => {
--- a/src/routing/zone-first-strategy.ts
+++ b/src/routing/zone-first-strategy.ts
@@ -1,14 +1,14 @@
 /**
- * Two random candidates, the less loaded wins; the own zone is preferred until it is nearly full,
- * then the own region.
+ * Selects the less loaded of two random candidates (power of two choices). Prefers the node's zone until it is
+ * nearly full, then the node's region.
  */
 import type { RandomSource } from '../control/control-event.js';
 import type { Candidate, ChoiceContext, EndpointStrategy } from './endpoint-strategy.js';
 
-/** Load from which requests spill over to other zones, as a share of the slots. */
+/** Load, as a share of the slots, from which requests spill over to other zones. */
 const SPILL_OVER_LOAD = 0.8;
 
-/** The strategy. */
+/** Selects by zone and load. */
 export class ZoneFirstStrategy implements EndpointStrategy {
   constructor(private readonly random: RandomSource) {}
 
@@ -17,17 +17,17 @@
     { zone, region }: ChoiceContext,
     nowMs: number,
   ): Candidate | undefined {
-    const near = candidates.filter(({ endpoint }) => endpoint.spec.zone === zone);
-    const nearest = this.chooseOfTwo(near, nowMs);
-    if (nearest !== undefined && loadOf(nearest, nowMs) < SPILL_OVER_LOAD) {
-      return nearest;
+    const inZone = candidates.filter(({ endpoint }) => endpoint.spec.zone === zone);
+    const zonal = this.chooseOfTwo(inZone, nowMs);
+    if (zonal !== undefined && loadOf(zonal, nowMs) < SPILL_OVER_LOAD) {
+      return zonal;
     }
     const inRegion = candidates.filter(({ endpoint }) => endpoint.spec.region === region);
     const regional = this.chooseOfTwo(inRegion, nowMs);
     if (regional !== undefined && loadOf(regional, nowMs) < SPILL_OVER_LOAD) {
       return regional;
     }
-    return lessLoaded(this.chooseOfTwo(candidates, nowMs), nearest ?? regional, nowMs);
+    return lessLoaded(this.chooseOfTwo(candidates, nowMs), zonal ?? regional, nowMs);
   }
 
   private chooseOfTwo(candidates: readonly Candidate[], nowMs: number): Candidate | undefined {
--- a/src/runtime/store-node.ts
+++ b/src/runtime/store-node.ts
@@ -5,7 +5,7 @@
  */
 import type http from 'node:http';
 import { MACHINE_CLOCK } from '../clock/machine-clock.js';
-import { LOOKS } from '../clock/shared-interval.js';
+import { PERIODIC_CHECKS } from '../clock/shared-interval.js';
 import { Containment } from '../containment/containment.js';
 import { PeerExchange } from '../peers/peer-exchange.js';
 import { DeltaTexts } from '../peers/told-delta.js';
@@ -116,7 +116,7 @@
     await this.peers.open();
     this.services.own(
       'looks',
-      LOOKS.add(() => this.look()),
+      PERIODIC_CHECKS.add(() => this.look()),
       (end) => end(),
     );
   }
--- a/test/admission/endpoint-admission.test.ts
+++ b/test/admission/endpoint-admission.test.ts
@@ -1,10 +1,10 @@
-/** Admission to an endpoint: slots, queue, fairness, deadlines, drain, pace. */
+/** Admission to an endpoint: slots, queue, fairness, deadlines, drains and measured service times. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { EndpointAdmission, type AdmissionEffect } from '../../src/admission/endpoint-admission.js';
 
 const SEED = 20_260_102;
-const FAR_MS = 1e9;
+const NO_DEADLINE_MS = 1e9;
 const SLOTS = 2;
 const QUEUE_BOUND = 2 * SLOTS;
 
@@ -48,8 +48,8 @@
   },
 );
 
-/** Runs the steps and knows the fate of every request. */
-class Oracle {
+/** Applies the steps and tracks the outcome of every request. */
+class Model {
   readonly admission = new EndpointAdmission(SLOTS);
   private nowMs = 0;
   private offered = 0;
@@ -59,7 +59,7 @@
 
   private drain(isDraining: boolean): void {
     this.isDraining = isDraining;
-    this.take(this.admission.close(isDraining ? 'draining' : undefined, this.nowMs));
+    this.applyEffects(this.admission.close(isDraining ? 'draining' : undefined, this.nowMs));
   }
 
   apply(step: Step): void {
@@ -71,7 +71,9 @@
         const startedAtMs = this.running.get(id ?? '') ?? 0;
         this.running.delete(id ?? '');
         const serviceMs = step.isMeasured ? this.nowMs - startedAtMs : undefined;
-        return this.take(id === undefined ? [] : this.admission.release(id, this.nowMs, serviceMs));
+        return this.applyEffects(
+          id === undefined ? [] : this.admission.release(id, this.nowMs, serviceMs),
+        );
       }
       case 'withdraw': {
         const id = pickOf([...this.waiting.keys()], step.pick) ?? '';
@@ -94,8 +96,10 @@
     expect(this.waiting.size, 'waiting').to.be.at.most(QUEUE_BOUND);
     expect(this.admission.runningCount).to.equal(this.running.size);
     expect(this.admission.waitingCount).to.equal(this.waiting.size);
-    expect(this.isDraining && this.waiting.size > 0, 'waits for a drain').to.equal(false);
-    expect(this.running.size === 0 && this.waiting.size > 0, 'waits for nothing').to.equal(false);
+    expect(this.isDraining && this.waiting.size > 0, 'queued during a drain').to.equal(false);
+    expect(this.running.size === 0 && this.waiting.size > 0, 'queued while none runs').to.equal(
+      false,
+    );
   }
 
   private offer(callerNode: string, deadlineInMs: number): void {
@@ -103,13 +107,13 @@
     const requestId = `r${this.offered}`;
     const deadlineAtMs = this.nowMs + deadlineInMs;
     this.waiting.set(requestId, { node: callerNode, deadlineAtMs });
-    this.take(this.admission.offer({ requestId, callerNode, deadlineAtMs }, this.nowMs));
+    this.applyEffects(this.admission.offer({ requestId, callerNode, deadlineAtMs }, this.nowMs));
   }
 
-  private take(effects: readonly AdmissionEffect[]): void {
+  private applyEffects(effects: readonly AdmissionEffect[]): void {
     for (const effect of effects) {
       const request = this.waiting.get(effect.requestId);
-      expect(this.waiting.delete(effect.requestId), 'decided once').to.equal(true);
+      expect(this.waiting.delete(effect.requestId), 'one decision per request').to.equal(true);
       if (effect.type === 'refuse') {
         expect(effect.retryAfterMs).to.be.greaterThan(0);
         continue;
@@ -122,18 +126,22 @@
 }
 
 const property = fc.property(fc.array(stepArbitrary, { maxLength: 80, size: 'max' }), (steps) => {
-  const oracle = new Oracle();
+  const model = new Model();
   for (const step of steps) {
-    oracle.apply(step);
-    oracle.check();
+    model.apply(step);
+    model.check();
   }
 });
 
 const mutants: readonly { name: string; method: string; broken: unknown }[] = [
   { name: 'no bound on the queue', method: 'queueBound', broken: Infinity },
-  { name: 'an idle endpoint refuses by its old pace', method: 'isTooLate', broken: () => true },
   {
-    name: 'no slot is counted',
+    name: 'an idle endpoint refuses by earlier service times',
+    method: 'isTooLate',
+    broken: () => true,
+  },
+  {
+    name: 'slots are not counted',
     method: 'dispatchOrRefuse',
     broken: ({ requestId }: { requestId: string }) => ({ type: 'dispatch', requestId }),
   },
@@ -152,12 +160,12 @@
 ];
 
 describe('admission to an endpoint', () => {
-  it('keeps slots, queue, deadlines and drains, whatever happens', () => {
+  it('respects slots, queue limit, deadlines and drains for any sequence of steps', () => {
     fc.assert(property, { seed: SEED, numRuns: 1_000 });
   });
 
   for (const { name, method, broken } of mutants) {
-    it(`is caught when broken: ${name}`, () => {
+    it(`detects the mutant: ${name}`, () => {
       const { prototype } = EndpointAdmission;
       const original = Object.getOwnPropertyDescriptor(prototype, method) ?? {};
       Object.defineProperty(prototype, method, {
@@ -167,7 +175,7 @@
       });
       try {
         const result = fc.check(property, { seed: SEED, numRuns: 1_000, endOnFailure: true });
-        // Every request is refused when the pace of an idle endpoint counts.
+        // If the estimate applied to an idle endpoint, every request would be refused.
         const isCaught = result.failed || !isAdmittedWhenIdle();
         expect(isCaught).to.equal(true);
       } finally {
@@ -176,7 +184,7 @@
     });
   }
 
-  it('gives slots to the nodes in turn, and makes room for a node that has few', () => {
+  it('serves nodes round robin and displaces a request of a node with more queued requests', () => {
     const admission = new EndpointAdmission(1);
     offer(admission, 'running', 'a');
     offer(admission, 'a1', 'a');
@@ -193,7 +201,7 @@
     expect(order).to.deep.equal([['a1'], ['b1'], []]);
   });
 
-  it('refuses at once what can not finish in time by the measured pace, and says when to return', () => {
+  it('refuses immediately a request that cannot finish in time by the measured service time, with a retry delay', () => {
     const admission = new EndpointAdmission(1);
     offer(admission, 'first', 'a');
     admission.release('first', 100, 100);
@@ -206,7 +214,7 @@
     expect(loose).to.deep.equal([]);
   });
 
-  it('sends less to an endpoint that refuses, and more again with its answers', () => {
+  it('lowers the concurrency limit after refusals and raises it again with responses', () => {
     const admission = new EndpointAdmission(10);
     for (let refusal = 0; refusal < 7; refusal += 1) {
       admission.endpointRefused();
@@ -234,7 +242,7 @@
   admission: EndpointAdmission,
   requestId: string,
   callerNode: string,
-  deadlineAtMs = FAR_MS,
+  deadlineAtMs = NO_DEADLINE_MS,
 ): AdmissionEffect[] {
   return admission.offer({ requestId, callerNode, deadlineAtMs }, 0);
 }
--- a/test/admission/no-slots.test.ts
+++ b/test/admission/no-slots.test.ts
@@ -1,16 +1,15 @@
 /**
- * Admission to an endpoint that this node may not use any more: it has no slots left.
- *
- * Without slots no pace tells when to come back: divided by them, the time would be infinite, or no number.
+ * Admission to an endpoint that this node may no longer use because it has no slots. Guards against an infinite or
+ * NaN retry delay, which results from dividing by the number of slots.
  */
 import { expect } from 'chai';
 import { EndpointAdmission, type AdmissionTicket } from '../../src/admission/endpoint-admission.js';
 import { DEFAULT_RETRY_AFTER_MS } from '../../src/proxy/attempt-errors.js';
 
-const FAR_MS = 1e9;
-const HERE = { beginsAtMs: 0, endsAtMs: 0 };
+const NO_DEADLINE_MS = 1e9;
+const ARRIVED = { beginsAtMs: 0, endsAtMs: 0 };
 
-function ticket(requestId: string, deadlineAtMs = FAR_MS): AdmissionTicket {
+function ticket(requestId: string, deadlineAtMs = NO_DEADLINE_MS): AdmissionTicket {
   return { requestId, callerNode: 'n', priority: 1, deadlineAtMs };
 }
 
@@ -19,31 +18,31 @@
 }
 
 describe('admission without slots', () => {
-  for (const ranBefore of [0, 1]) {
-    describe(`while ${ranBefore} requests run`, () => {
+  for (const runningCount of [0, 1]) {
+    describe(`with ${runningCount} running requests`, () => {
       let admission: EndpointAdmission;
 
       beforeEach(() => {
         admission = new EndpointAdmission(1);
-        if (ranBefore > 0) {
+        if (runningCount > 0) {
           admission.offer(ticket('running'), 0);
         }
         admission.setSlots(0, 0);
       });
 
-      it('refuses what arrives, with the default time', () => {
+      it('refuses requests with the default retry delay', () => {
         const effects = admission.offer(ticket('a'), 0);
         expect(effects).to.deep.equal([{ type: 'refuse', ...refusal('a') }]);
         expect(admission.waitingCount).to.equal(0);
       });
 
-      it('refuses ahead of a body, with the default time', () => {
-        expect(admission.reserve(ticket('a'), HERE, 0)).to.deep.equal(refusal('a'));
+      it('refuses reservations with the default retry delay', () => {
+        expect(admission.reserve(ticket('a'), ARRIVED, 0)).to.deep.equal(refusal('a'));
       });
 
-      it('refuses whose place was kept for its body', () => {
+      it('refuses requests that hold a reservation', () => {
         admission.setSlots(1, 0);
-        admission.reserve(ticket('a'), HERE, 0);
+        admission.reserve(ticket('a'), ARRIVED, 0);
         admission.setSlots(0, 0);
         expect(admission.offer(ticket('a'), 0)).to.deep.equal([
           { type: 'refuse', ...refusal('a') },
@@ -51,14 +50,14 @@
       });
 
       for (const reason of ['draining', 'deadline-passed'] as const) {
-        it(`tells the default time with another reason: ${reason}`, () => {
+        it(`returns the default retry delay with another reason: ${reason}`, () => {
           admission.close(reason === 'draining' ? reason : undefined, 0);
           const [effect] = admission.offer(ticket('a', 0), 0);
           expect(effect).to.deep.equal({ type: 'refuse', ...refusal('a'), reason });
         });
       }
 
-      it('takes requests again once there are slots', () => {
+      it('accepts requests again when there are slots', () => {
         admission.endpointRefused();
         admission.release('running', 0, 10);
         admission.setSlots(1, 0);
@@ -68,7 +67,7 @@
     });
   }
 
-  it('leaves alone what runs, and lets what waits run one at a time', () => {
+  it('does not affect running requests and runs queued ones one at a time', () => {
     const admission = new EndpointAdmission(2);
     ['running', 'other', 'a', 'b'].forEach((id) => admission.offer(ticket(id), 0));
     expect(admission.setSlots(0, 0)).to.deep.equal([]);
@@ -78,7 +77,7 @@
     expect(admission.runningCount).to.equal(1);
   });
 
-  it('tells the default time to what waited too long', () => {
+  it('returns the default retry delay for a queued request whose deadline has passed', () => {
     const admission = new EndpointAdmission(1);
     admission.offer(ticket('running'), 0);
     admission.offer(ticket('late', 50), 0);
--- a/test/admission/short-late-work.test.ts
+++ b/test/admission/short-late-work.test.ts
@@ -1,6 +1,6 @@
 /**
- * An endpoint that is full of long work, and short work beside it that has missed its target: calls of other
- * endpoints, whose callers hold slots meanwhile. Under a virtual clock.
+ * Short requests that have missed their target at an endpoint saturated with long requests. The short requests are
+ * calls of other endpoints, whose callers occupy slots in the meantime. Uses a virtual clock.
  */
 import { expect } from 'chai';
 import { EndpointAdmission, type AdmissionEffect } from '../../src/admission/endpoint-admission.js';
@@ -13,7 +13,7 @@
 const SLOTS = 4;
 const QUEUED_PER_SLOT = 2;
 const RUN_MS = 20_000;
-/** A class of requests of the load; all of one priority. */
+/** A class of requests in the load; all classes have the same priority. */
 interface WorkClass {
   readonly name: string;
   readonly workMs: number;
@@ -23,7 +23,7 @@
   readonly isLate: boolean;
 }
 
-/** 4 slots bear 14.5 orders a second: 14 come, with 3 calls. */
+/** 4 slots sustain 14.5 orders a second; the load is 14 orders and 3 calls a second. */
 const ORDERS: WorkClass = {
   name: 'order',
   workMs: 276,
@@ -53,20 +53,20 @@
   return route;
 }
 
-/** Requests of each class that were served before their deadline, as a share of all. */
+/** Share of the requests that were served before their deadline, by class. */
 function servedShares(classes: readonly WorkClass[]): Map<string, number> {
   const clock = new VirtualScheduler();
   const admission = new EndpointAdmission(SLOTS, Infinity, QUEUED_PER_SLOT);
   const offered = new Map<string, number>();
   const served = new Map<string, number>();
-  const works = new Map<string, WorkClass>();
+  const workById = new Map<string, WorkClass>();
 
   const after = (delayMs: number, run: () => void): void => {
     clock.schedule(clock.nowMs + delayMs, { run });
   };
   const execute = (effects: readonly AdmissionEffect[]): void => {
     for (const effect of effects) {
-      const work = works.get(effect.requestId);
+      const work = workById.get(effect.requestId);
       if (effect.type === 'dispatch' && work !== undefined) {
         after(work.workMs, () => {
           served.set(work.name, (served.get(work.name) ?? 0) + 1);
@@ -83,7 +83,7 @@
       callerNode: `n${count % 5}`,
       deadlineAtMs: clock.nowMs + work.deadlineMs,
     };
-    works.set(ticket.requestId, work);
+    workById.set(ticket.requestId, work);
     offered.set(work.name, count + 1);
     execute(admission.offer(ticket, clock.nowMs));
     const leftMs = admission.latestStartAtMs(ticket, clock.nowMs) - clock.nowMs;
@@ -99,12 +99,12 @@
   );
 }
 
-describe('short work that is late, at an endpoint full of long work', () => {
+describe('short late work at an endpoint saturated with long work', () => {
   it('is served before its deadline', () => {
     expect(servedShares([ORDERS, LATE_CALLS]).get('call')).to.be.at.least(0.9);
   });
 
-  it('takes no more from the long work than the time that it needs', () => {
+  it('reduces the served share of the long work by no more than the time it needs', () => {
     const alone = servedShares([ORDERS]).get('order') ?? 0;
     const beside = servedShares([ORDERS, LATE_CALLS]).get('order') ?? 0;
     const neededShare =
--- a/test/admission/unfinished-work.test.ts
+++ b/test/admission/unfinished-work.test.ts
@@ -1,6 +1,7 @@
 /**
- * An endpoint that has become slow by twelve, so that each of its requests is given up at its deadline: what is given
- * up tells its pace too, and later requests are refused at once instead of being lost there.
+ * An endpoint that has become twelve times slower, so that each of its requests is abandoned at its deadline. The
+ * elapsed times of abandoned requests count as measurements, so that later requests are refused immediately instead
+ * of being lost there.
  */
 import { expect } from 'chai';
 import { EndpointAdmission } from '../../src/admission/endpoint-admission.js';
@@ -10,8 +11,11 @@
 const DEADLINE_MS = 620;
 const ROUNDS = 10;
 
-/** Requests that were sent in each round, one more than slots offered, all given up after `takenMs`. */
-function sentInRounds(admission: EndpointAdmission, takenMs: number): number[] {
+/**
+ * Number of requests sent in each round. One more request than there are slots is offered; all that are sent are
+ * abandoned after `abandonedAfterMs`.
+ */
+function sentInRounds(admission: EndpointAdmission, abandonedAfterMs: number): number[] {
   let nowMs = 0;
   return Array.from({ length: ROUNDS }, (_, round) => {
     const sent: string[] = [];
@@ -28,16 +32,16 @@
       }
       admission.withdraw(ticket.requestId, 'n');
     }
-    nowMs += takenMs;
+    nowMs += abandonedAfterMs;
     for (const requestId of sent) {
-      admission.unfinished('call', takenMs);
+      admission.recordUnfinished('call', abandonedAfterMs);
       admission.release(requestId, nowMs);
     }
     return sent.length;
   });
 }
 
-describe('requests that are given up while their endpoint is at work', () => {
+describe('requests abandoned while their endpoint processes them', () => {
   let admission: EndpointAdmission;
 
   beforeEach(() => {
@@ -49,18 +53,18 @@
     admission.release('first', 0, USUAL_MS);
   });
 
-  it('tell how long such work takes at least: soon only one at a time is sent, to see how it is', () => {
+  it('count as a lower bound on the service time: after a few rounds, only one probe is sent at a time', () => {
     const sent = sentInRounds(admission, DEADLINE_MS + 20);
     expect(sent[0]).to.equal(SLOTS);
     expect(sent.slice(5)).to.deep.equal([1, 1, 1, 1, 1]);
   });
 
-  it('tell nothing where they were given up sooner than such work takes', () => {
+  it('are ignored if they were abandoned sooner than the mean service time', () => {
     sentInRounds(admission, USUAL_MS / 2);
     expect(admission.serviceMs('call')).to.equal(USUAL_MS);
   });
 
-  it('are forgotten as the endpoint becomes quick again', () => {
+  it('lose their weight when the endpoint becomes fast again', () => {
     sentInRounds(admission, DEADLINE_MS + 20);
     for (let count = 0; count < 30; count += 1) {
       admission.offer(
--- a/test/clock/shared-interval.test.ts
+++ b/test/clock/shared-interval.test.ts
@@ -1,4 +1,4 @@
-/** Regular actions of one process: they run in the same turns, and end each on its own. */
+/** Periodic actions of one process: they run in the same turn and are stopped individually. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { expect } from 'chai';
 import { SharedInterval } from '../../src/clock/shared-interval.js';
@@ -6,38 +6,38 @@
 const INTERVAL_MS = 20;
 
 describe('a shared interval', () => {
-  /** Two timers of one process woke it twice in each interval, though both could wait for the other. */
-  it('runs all actions in one turn, whenever each was added', async () => {
+  /** Guards against separate timers, which wake the process twice in each interval. */
+  it('runs all actions in one turn, regardless of when they were added', async () => {
     const interval = new SharedInterval(INTERVAL_MS);
     const turns: string[] = [];
     let isSameTurn = false;
-    const note = (name: string): void => {
+    const recordTurn = (name: string): void => {
       turns.push(isSameTurn ? `${name} with the one before` : name);
       isSameTurn = true;
       setImmediate(() => {
         isSameTurn = false;
       });
     };
-    const endFirst = interval.add(() => note('first'));
+    const stopFirst = interval.add(() => recordTurn('first'));
     await delay(INTERVAL_MS / 2);
-    const endSecond = interval.add(() => note('second'));
+    const stopSecond = interval.add(() => recordTurn('second'));
     await delay(INTERVAL_MS);
-    endFirst();
-    endSecond();
+    stopFirst();
+    stopSecond();
     expect(turns).to.deep.equal(['first', 'second with the one before']);
   });
 
-  it('goes on with the others once one ends, and ends with the last one', async () => {
+  it('continues when one action is stopped and ends with the last one', async () => {
     const interval = new SharedInterval(INTERVAL_MS);
     const counts = { first: 0, second: 0 };
-    const endFirst = interval.add(() => (counts.first += 1));
-    const endSecond = interval.add(() => (counts.second += 1));
-    endFirst();
-    endFirst();
+    const stopFirst = interval.add(() => (counts.first += 1));
+    const stopSecond = interval.add(() => (counts.second += 1));
+    stopFirst();
+    stopFirst();
     await delay(3 * INTERVAL_MS);
     expect(counts.first).to.equal(0);
     expect(counts.second).to.be.at.least(1);
-    endSecond();
+    stopSecond();
     const { second } = counts;
     await delay(2 * INTERVAL_MS);
     expect(counts.second).to.equal(second);
--- a/test/containment/containment-model.test.ts
+++ b/test/containment/containment-model.test.ts
@@ -1,17 +1,17 @@
 /**
- * Containment against a model, over all orders of a few events at two nodes: crashes with the guilty request
- * alone and beside a harmless one, answers, news either way, and restarts. The model is the plain statement of
- * what a node may know: sets of crashes and of cleared ones, joined by union.
+ * Compares containment with a model for all sequences of a few events at two nodes: crashes with the guilty request
+ * alone and next to an innocent one, responses, messages in both directions, and restarts. The model of a node is
+ * its sets of crashes and cleared crashes, merged by union.
  */
 import { expect } from 'chai';
 import { SuspicionTable } from '../../src/containment/suspicion-table.js';
 import type { Standing } from '../../src/containment/suspicion.js';
 
 const GUILTY = 'a'.repeat(40);
-const HARMLESS = 'b'.repeat(40);
-const FINGERPRINTS = [GUILTY, HARMLESS] as const;
-/** Events in a row: 13^4 orders, each after two crashes that are known to both nodes. */
-const LENGTH = 4;
+const INNOCENT = 'b'.repeat(40);
+const FINGERPRINTS = [GUILTY, INNOCENT] as const;
+/** Events per sequence: 13^4 sequences, run without prior crashes and after two of them. */
+const SEQUENCE_LENGTH = 4;
 const NOW_MS = 1_000;
 
 interface KnownCrashes {
@@ -19,17 +19,17 @@
   readonly cleared: Set<string>;
 }
 
-/** What one node may know. */
+/** A node with its table and the model of it. */
 class ModelNode {
   table = new SuspicionTable();
   private known = new Map<string, KnownCrashes>();
 
-  blame(fingerprints: readonly string[], crash: string): void {
+  crash(fingerprints: readonly string[], crash: string): void {
     const accused = fingerprints.filter((one) => this.countOf(one) >= 2);
     (accused.length > 0 ? accused : fingerprints).forEach((one) =>
       this.entryOf(one).crashes.add(crash),
     );
-    this.table.blame(fingerprints, crash, NOW_MS);
+    this.table.recordCrash(fingerprints, crash, NOW_MS);
   }
 
   answer(fingerprint: string): void {
@@ -41,9 +41,9 @@
   learn(other: ModelNode): void {
     for (const fingerprint of FINGERPRINTS) {
       const own = this.entryOf(fingerprint);
-      const told = other.entryOf(fingerprint);
-      told.crashes.forEach((crash) => own.crashes.add(crash));
-      told.cleared.forEach((crash) => own.cleared.add(crash));
+      const received = other.entryOf(fingerprint);
+      received.crashes.forEach((crash) => own.crashes.add(crash));
+      received.cleared.forEach((crash) => own.cleared.add(crash));
     }
     this.table.merge(other.table.list(NOW_MS), NOW_MS);
   }
@@ -75,14 +75,14 @@
   }
 }
 
-/** Two nodes, and how many crashes there were. */
+/** Two nodes and a counter of crashes. */
 class ModelFleet {
   readonly nodes = [new ModelNode(), new ModelNode()] as const;
   private crashes = 0;
 
   crash(node: ModelNode, fingerprints: readonly string[]): void {
     this.crashes += 1;
-    node.blame(fingerprints, this.crashes.toString(16).padStart(12, '0'));
+    node.crash(fingerprints, this.crashes.toString(16).padStart(12, '0'));
   }
 }
 
@@ -91,12 +91,24 @@
 function eventsAt(idx: 0 | 1): readonly ModelEvent[] {
   const other = idx === 0 ? 1 : 0;
   return [
-    [`${idx} sees the guilty one crash`, (fleet) => fleet.crash(fleet.nodes[idx], [GUILTY])],
-    [`${idx} sees both`, (fleet) => fleet.crash(fleet.nodes[idx], [HARMLESS, GUILTY])],
-    [`${idx} sees the harmless one`, (fleet) => fleet.crash(fleet.nodes[idx], [HARMLESS])],
-    [`${idx} answers the harmless one`, ({ nodes }) => nodes[idx].answer(HARMLESS)],
-    [`${idx} learns of ${other}`, ({ nodes }) => nodes[idx].learn(nodes[other])],
-    [`${idx} starts again`, ({ nodes }) => nodes[idx].restart()],
+    [
+      `${idx} sees the guilty request crash an endpoint`,
+      (fleet) => fleet.crash(fleet.nodes[idx], [GUILTY]),
+    ],
+    [
+      `${idx} sees a crash with both requests`,
+      (fleet) => fleet.crash(fleet.nodes[idx], [INNOCENT, GUILTY]),
+    ],
+    [
+      `${idx} sees a crash with the innocent request`,
+      (fleet) => fleet.crash(fleet.nodes[idx], [INNOCENT]),
+    ],
+    [
+      `${idx} receives a response to the innocent request`,
+      ({ nodes }) => nodes[idx].answer(INNOCENT),
+    ],
+    [`${idx} receives the suspicions of ${other}`, ({ nodes }) => nodes[idx].learn(nodes[other])],
+    [`${idx} restarts`, ({ nodes }) => nodes[idx].restart()],
   ];
 }
 
@@ -104,7 +116,7 @@
   ...eventsAt(0),
   ...eventsAt(1),
   [
-    'both learn',
+    'both exchange suspicions',
     ({ nodes: [first, second] }) => {
       first.learn(second);
       second.learn(first);
@@ -112,15 +124,15 @@
   ],
 ];
 
-/** Every order of `length` events, by their positions. */
-function* orders(length: number): Generator<readonly number[]> {
+/** All sequences of `length` events, as indexes into {@link EVENTS}. */
+function* sequencesOf(length: number): Generator<readonly number[]> {
   if (length === 0) {
     yield [];
     return;
   }
-  for (const rest of orders(length - 1)) {
+  for (const prefix of sequencesOf(length - 1)) {
     for (let position = 0; position < EVENTS.length; position += 1) {
-      yield [...rest, position];
+      yield [...prefix, position];
     }
   }
 }
@@ -137,11 +149,11 @@
   });
 }
 
-describe('containment, over all orders of events at two nodes', () => {
+describe('containment for all sequences of events at two nodes', () => {
   for (const before of [0, 2]) {
-    it(`holds what the model says, after ${before} crashes of the guilty request`, () => {
+    it(`matches the model after ${before} crashes with the guilty request`, () => {
       let count = 0;
-      for (const order of orders(LENGTH)) {
+      for (const order of sequencesOf(SEQUENCE_LENGTH)) {
         const fleet = new ModelFleet();
         for (let crash = 0; crash < before; crash += 1) {
           fleet.crash(fleet.nodes[crash === 0 ? 0 : 1], [GUILTY]);
@@ -155,7 +167,7 @@
         expect(first.table.digest).to.equal(second.table.digest);
         count += 1;
       }
-      expect(count).to.equal(EVENTS.length ** LENGTH);
+      expect(count).to.equal(EVENTS.length ** SEQUENCE_LENGTH);
     }).timeout(120_000);
   }
 });
--- a/test/containment/request-fingerprint.test.ts
+++ b/test/containment/request-fingerprint.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import {
-  callerlessOf,
-  headOf,
+  withoutCaller,
+  headDigestOf,
   RequestFingerprint,
 } from '../../src/containment/request-fingerprint.js';
 import { EMPTY_BODY, HeldBody } from '../../src/proxy/request-body.js';
@@ -14,62 +14,64 @@
   body: new HeldBody(Buffer.from('pay')),
 };
 
-function wholeOf(parts: Partial<typeof PARTS>): string {
-  return new RequestFingerprint({ ...PARTS, ...parts }, CALLER_HEADER).whole;
+function fullDigestOf(parts: Partial<typeof PARTS>): string {
+  return new RequestFingerprint({ ...PARTS, ...parts }, CALLER_HEADER).fullDigest;
 }
 
 describe('the fingerprint of a request', () => {
-  it('is the same for every try, at any machine', () => {
+  it('is equal for every attempt at any machine', () => {
     const again = ['Request-Id', 'two', 'CALLER', 'shop', 'host', 'H.example:8080', 'X-Trace', '7'];
     const body = new HeldBody(Buffer.from('pay'));
-    expect(wholeOf({ headers: again, body })).to.equal(wholeOf({}));
+    expect(fullDigestOf({ headers: again, body })).to.equal(fullDigestOf({}));
   });
 
   it('differs with method, path, query, host, caller and body', () => {
     const all = [
-      wholeOf({}),
-      wholeOf({ method: 'PUT' }),
-      wholeOf({ target: '/a/b?c=2' }),
-      wholeOf({ target: '/a/bb?c=1' }),
-      wholeOf({ headers: ['Host', 'i.example', 'Caller', 'shop'] }),
-      wholeOf({ headers: ['Host', 'h.example', 'Caller', 'depot'] }),
-      wholeOf({ headers: ['Host', 'h.example'] }),
-      wholeOf({ body: new HeldBody(Buffer.from('pay more')) }),
-      wholeOf({ body: new HeldBody(Buffer.alloc(0)) }),
+      fullDigestOf({}),
+      fullDigestOf({ method: 'PUT' }),
+      fullDigestOf({ target: '/a/b?c=2' }),
+      fullDigestOf({ target: '/a/bb?c=1' }),
+      fullDigestOf({ headers: ['Host', 'i.example', 'Caller', 'shop'] }),
+      fullDigestOf({ headers: ['Host', 'h.example', 'Caller', 'depot'] }),
+      fullDigestOf({ headers: ['Host', 'h.example'] }),
+      fullDigestOf({ body: new HeldBody(Buffer.from('pay more')) }),
+      fullDigestOf({ body: new HeldBody(Buffer.alloc(0)) }),
     ];
     expect(new Set(all)).to.have.property('size', all.length);
   });
 
-  it('is the same at nodes that callers name by their addresses', () => {
+  it('is equal at nodes that callers address by IP', () => {
     const hosts = ['10.1.0.8', '10.2.0.7:8080', '[fd00::1]:8080', '[fd00::2]'];
-    const all = hosts.map((host) => wholeOf({ headers: ['Host', host, 'Caller', 'shop'] }));
+    const all = hosts.map((host) => fullDigestOf({ headers: ['Host', host, 'Caller', 'shop'] }));
     expect(new Set(all)).to.have.property('size', 1);
-    expect(all).not.to.include(wholeOf({}));
+    expect(all).not.to.include(fullDigestOf({}));
   });
 
-  it('keeps the parts apart', () => {
-    expect(wholeOf({ method: 'GET', target: '/a' })).not.to.equal(
-      wholeOf({ method: 'GE', target: 'T/a' }),
+  it('separates the parts', () => {
+    expect(fullDigestOf({ method: 'GET', target: '/a' })).not.to.equal(
+      fullDigestOf({ method: 'GE', target: 'T/a' }),
     );
   });
 
-  it('begins with the digest of the head, which the body does not change', () => {
+  it('starts with the head digest, which does not depend on the body', () => {
     const one = new RequestFingerprint(PARTS, CALLER_HEADER);
-    expect(headOf(one.whole)).to.equal(one.head);
-    expect(headOf(wholeOf({ body: new HeldBody(Buffer.from('other')) }))).to.equal(one.head);
-    expect(one.whole).to.match(/^[0-9a-f]{40}$/);
+    expect(headDigestOf(one.fullDigest)).to.equal(one.headDigest);
+    expect(headDigestOf(fullDigestOf({ body: new HeldBody(Buffer.from('other')) }))).to.equal(
+      one.headDigest,
+    );
+    expect(one.fullDigest).to.match(/^[0-9a-f]{40}$/);
   });
 
-  it('differs only at its end with the caller', () => {
-    const other = wholeOf({ headers: ['Host', 'h.example', 'Caller', 'depot'] });
-    expect(callerlessOf(other)).to.equal(callerlessOf(wholeOf({})));
+  it('differs with the caller only in its last digits', () => {
+    const other = fullDigestOf({ headers: ['Host', 'h.example', 'Caller', 'depot'] });
+    expect(withoutCaller(other)).to.equal(withoutCaller(fullDigestOf({})));
     const body = new HeldBody(Buffer.from('other'));
-    expect(callerlessOf(wholeOf({ body }))).not.to.equal(callerlessOf(wholeOf({})));
+    expect(withoutCaller(fullDigestOf({ body }))).not.to.equal(withoutCaller(fullDigestOf({})));
   });
 
-  it('knows a request without a body', () => {
+  it('is equal for equal requests without a body', () => {
     const parts = { ...PARTS, method: 'GET', body: EMPTY_BODY };
-    const one = new RequestFingerprint(parts, CALLER_HEADER).whole;
-    expect(new RequestFingerprint({ ...parts }, CALLER_HEADER).whole).to.equal(one);
+    const one = new RequestFingerprint(parts, CALLER_HEADER).fullDigest;
+    expect(new RequestFingerprint({ ...parts }, CALLER_HEADER).fullDigest).to.equal(one);
   });
 });
--- a/test/containment/suspect-lane.test.ts
+++ b/test/containment/suspect-lane.test.ts
@@ -8,38 +8,38 @@
   return { standing, fingerprint };
 }
 
-describe('requests under suspicion at one endpoint', () => {
-  it('let every other request by', () => {
+describe('suspect lane', () => {
+  it('admits all requests that are not suspected', () => {
     const lane = new SuspectLane();
     lane.enter('1', request('accused', 'a'));
     expect(lane.admits(request('clear', ''), SLOTS)).to.equal(true);
   });
 
-  it('stand beside few others, whatever the slots', () => {
-    for (const [slots, room] of [
+  it('admits one suspect per four slots, but at least one', () => {
+    for (const [slots, limit] of [
       [1, 1],
       [4, 1],
       [8, 2],
       [12, 3],
     ] as const) {
       const lane = new SuspectLane();
-      let entered = 0;
-      while (lane.admits(request('suspect', `s${entered}`), slots)) {
-        lane.enter(`${entered}`, request('suspect', `s${entered}`));
-        entered += 1;
+      let admitted = 0;
+      while (lane.admits(request('suspect', `s${admitted}`), slots)) {
+        lane.enter(`${admitted}`, request('suspect', `s${admitted}`));
+        admitted += 1;
       }
-      expect(entered).to.equal(room);
+      expect(admitted).to.equal(limit);
     }
   });
 
-  it('that are the same one take one place', () => {
+  it('counts requests with the same fingerprint once', () => {
     const lane = new SuspectLane();
     lane.enter('1', request('suspect', 'a'));
     expect(lane.admits(request('suspect', 'a'), 1)).to.equal(true);
     expect(lane.admits(request('suspect', 'b'), 1)).to.equal(false);
   });
 
-  it('stand alone once they are accused, copies of the same one too', () => {
+  it('admits an accused request, or a copy of it, only without other suspects', () => {
     const lane = new SuspectLane();
     lane.enter('1', request('suspect', 'a'));
     expect(lane.admits(request('accused', 'b'), SLOTS)).to.equal(false);
--- a/test/containment/suspicion-flood.test.ts
+++ b/test/containment/suspicion-flood.test.ts
@@ -1,7 +1,7 @@
-/** What nodes of a control plane tell each other of requests under which endpoints ended. */
+/** Exchange of suspicions between nodes of a control plane. */
 import { expect } from 'chai';
 import { Containment } from '../../src/containment/containment.js';
-import { rememberedMs } from '../../src/containment/suspicion.js';
+import { retentionMs } from '../../src/containment/suspicion.js';
 import { SuspicionFlood } from '../../src/containment/suspicion-flood.js';
 import type { ControlEffect, ControlEvent } from '../../src/control/control-event.js';
 import type { PeerIdentity } from '../../src/membership/peer-identity.js';
@@ -14,7 +14,7 @@
   return { id, incarnation: 1, ...place };
 }
 
-/** One node, whose own news is handled at once. */
+/** One node, which handles its own events immediately. */
 class FloodNode {
   nowMs = 0;
   readonly effects: ControlEffect[] = [];
@@ -31,40 +31,40 @@
     this.effects.push(...this.flood.handle(event, this.nowMs));
   }
 
-  /** To whom news went since the last call. */
-  told(): string[] {
+  /** Recipients of the messages sent since the last call. */
+  takeRecipients(): string[] {
     return this.effects
       .splice(0)
       .map((effect) => (effect.type === 'send' ? effect.to : effect.type));
   }
 }
 
-describe('the flood of requests under suspicion', () => {
-  it('tells every peer what is new, once, and a new peer what is known', () => {
+describe('suspicion flood', () => {
+  it('sends a new suspicion to every peer once, and all suspicions to a new peer', () => {
     const node = new FloodNode();
     node.handle({ type: 'peer-up', peer: peer('a') });
     node.handle({ type: 'peer-up', peer: peer('b') });
-    expect(node.told()).to.deep.equal([]);
+    expect(node.takeRecipients()).to.deep.equal([]);
     node.containment.endpointEnded('e1', [PARTS]);
-    expect(node.told()).to.deep.equal(['a', 'b']);
+    expect(node.takeRecipients()).to.deep.equal(['a', 'b']);
     node.handle({ type: 'peer-down', peer: peer('a') });
     node.handle({ type: 'peer-up', peer: peer('c') });
-    expect(node.told()).to.deep.equal(['c']);
+    expect(node.takeRecipients()).to.deep.equal(['c']);
   });
 
-  it('passes on what is new to it, not back to where it came from, and nothing twice', () => {
+  it('forwards a new suspicion once, and not to the peer that sent it', () => {
     const [from, node] = [new FloodNode(), new FloodNode()];
     from.containment.endpointEnded('e1', [PARTS]);
     ['a', 'b'].forEach((id) => node.handle({ type: 'peer-up', peer: peer(id) }));
     const message = { type: 'suspicions', suspicions: from.containment.list() } as const;
     node.handle({ type: 'message', from: peer('a'), message });
-    expect(node.told()).to.deep.equal(['b']);
+    expect(node.takeRecipients()).to.deep.equal(['b']);
     node.handle({ type: 'message', from: peer('b'), message });
-    expect(node.told()).to.deep.equal([]);
+    expect(node.takeRecipients()).to.deep.equal([]);
     expect(node.containment.standingOf(PARTS)).to.equal('suspect');
   });
 
-  it('wakes to forget what has expired, however many events come, and sleeps after that', () => {
+  it('wakes to remove expired entries regardless of other events, and not again when none are left', () => {
     const node = new FloodNode();
     expect(node.flood.nextWakeAt()).to.equal(Infinity);
     node.containment.endpointEnded('e1', [PARTS]);
@@ -73,7 +73,7 @@
     node.nowMs = wakeAtMs - 1;
     node.handle({ type: 'peer-up', peer: peer('b') });
     expect(node.flood.nextWakeAt()).to.equal(wakeAtMs);
-    node.nowMs = rememberedMs(1);
+    node.nowMs = retentionMs(1);
     node.handle({ type: 'wake' });
     expect([node.containment.size, node.flood.nextWakeAt()]).to.deep.equal([0, Infinity]);
   });
--- a/test/peers/delivery-fleet.ts
+++ b/test/peers/delivery-fleet.ts
@@ -14,7 +14,7 @@
 import type { ReaderCandidate } from '../../src/peers/reader-order.js';
 import { DeltaTexts } from '../../src/peers/told-delta.js';
 import { StoreReplica } from '../../src/store/store-replica.js';
-import { LOOK_INTERVAL_MS } from '../../src/clock/shared-interval.js';
+import { CHECK_INTERVAL_MS } from '../../src/clock/shared-interval.js';
 import { StoreStandIn } from '../../standins/store-platform/store-stand-in.js';
 import { LinkProxy } from '../../tools/soak/link-proxy.js';
 
@@ -130,7 +130,7 @@
       { address, port: BEHIND_LINK_PORT },
     );
     link.setBandwidth(plan.linkBytesPerS);
-    const ticks = setInterval(() => source.tick(), LOOK_INTERVAL_MS);
+    const ticks = setInterval(() => source.tick(), CHECK_INTERVAL_MS);
     this.lifeCycle.own('ticks', ticks, (one) => clearInterval(one));
     this.lifeCycle.own('server', server, closeServer);
     this.lifeCycle.own('link', link, (one) => one.close());
--- a/test/peers/suspicion-gossip.test.ts
+++ b/test/peers/suspicion-gossip.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import type { Suspicion } from '../../src/containment/suspicion.js';
 import { SuspicionTable } from '../../src/containment/suspicion-table.js';
-import { fitting, suspicionLayout } from '../../src/containment/suspicion-layout.js';
+import { limitToBytes, suspicionLayout } from '../../src/containment/suspicion-layout.js';
 import { SuspicionGossip, type SentNews } from '../../src/peers/suspicion-gossip.js';
 import { seededRandom } from '../proxy/rig.js';
 
@@ -59,7 +59,7 @@
 
   blame(name: string, crash: number): void {
     const { table, gossip } = this.nodes.get(name) ?? expect.fail('no such node');
-    const changed = table.blame([GUILTY], crash.toString(16).padStart(12, '0'), this.nowMs);
+    const changed = table.recordCrash([GUILTY], crash.toString(16).padStart(12, '0'), this.nowMs);
     this.send(gossip.learned(changed));
   }
 
@@ -179,7 +179,7 @@
   it('keeps to its bound of bytes when there is much to tell', () => {
     const table = new SuspicionTable();
     for (let number = 0; number < 500; number += 1) {
-      table.blame(
+      table.recordCrash(
         [number.toString(16).padStart(32, '0') + '00000000'],
         number.toString(16).padStart(12, '0'),
         0,
@@ -194,6 +194,6 @@
     const bytes = answer.suspicions.reduce((sum, one) => sum + suspicionLayout.size(one), 0);
     expect(bytes).to.be.within(800, 1_200);
     expect(gossip.heardDigest('p', 1, 100)).to.deep.equal([]);
-    expect(fitting(table.list(0), 100)).to.have.length(3);
+    expect(limitToBytes(table.list(0), 100)).to.have.length(3);
   });
 });
--- a/test/proxy/signal-age.test.ts
+++ b/test/proxy/signal-age.test.ts
@@ -1,14 +1,14 @@
 /** Guards against a planned stop that counts from when its handler ran instead of from its signal. */
 import { expect } from 'chai';
-import { LOOK_INTERVAL_MS } from '../../src/clock/shared-interval.js';
+import { CHECK_INTERVAL_MS } from '../../src/clock/shared-interval.js';
 import { LoopLateness } from '../../src/proxy/loop-lateness.js';
 import { PauseDetector } from '../../src/proxy/pause-detector.js';
 
 describe('the age of a signal', () => {
   it('is nothing in a process that looks in time', () => {
     const pauses = new PauseDetector(0);
-    pauses.tick(LOOK_INTERVAL_MS);
-    expect(pauses.signalAgeMs(2 * LOOK_INTERVAL_MS)).to.equal(0);
+    pauses.tick(CHECK_INTERVAL_MS);
+    expect(pauses.signalAgeMs(2 * CHECK_INTERVAL_MS)).to.equal(0);
   });
 
   it('is the time since the last look where the process did not run since', () => {
