--- a/test/routing/endpoint-selector.test.ts
+++ b/test/routing/endpoint-selector.test.ts
@@ -1,4 +1,4 @@
-/** Choice of endpoints: load, zones, slow start, ejection and probing, drains. */
+/** Endpoint selection: load, zones, slow start, ejection and probing, drains. */
 import { expect } from 'chai';
 import { incarnationOf } from '../../src/model/incarnation.js';
 import type { Endpoint } from '../../src/model/resource.js';
@@ -33,21 +33,21 @@
   ) {}
 
   choose(context: Partial<SelectionContext> = {}): string | undefined {
-    const whole = { ...CONTEXT, ...this.context, ...context };
-    return this.selector.choose(this.endpoints, whole, this.nowMs)?.name;
+    const fullContext = { ...CONTEXT, ...this.context, ...context };
+    return this.selector.choose(this.endpoints, fullContext, this.nowMs)?.name;
   }
 
-  /** Attempts at one endpoint, each ended at once. */
+  /** Makes attempts at one endpoint, each of which ends immediately. */
   attempt(name: string, outcome: AttemptOutcome, times = 1): void {
     const target = this.endpoints.find((one) => one.name === name) as Endpoint;
     for (let time = 0; time < times; time += 1) {
-      this.selector.began(target, this.nowMs);
-      this.selector.ended(target, outcome, this.endpoints, this.nowMs);
+      this.selector.attemptStarted(target, this.nowMs);
+      this.selector.attemptEnded(target, outcome, this.endpoints, this.nowMs);
     }
   }
 
-  /** How often each endpoint is chosen in `times` choices, all left in flight or none. */
-  distribution(times: number, areHeld: boolean): Record<string, number> {
+  /** How often each endpoint is selected in `times` selections; with `areInFlight`, each remains in flight. */
+  distribution(times: number, areInFlight: boolean): Record<string, number> {
     const counts: Record<string, number> = {};
     for (let time = 0; time < times; time += 1) {
       const chosen = this.selector.choose(
@@ -56,8 +56,8 @@
         this.nowMs,
       );
       counts[chosen?.name ?? 'none'] = (counts[chosen?.name ?? 'none'] ?? 0) + 1;
-      if (chosen !== undefined && areHeld) {
-        this.selector.began(chosen, this.nowMs);
+      if (chosen !== undefined && areInFlight) {
+        this.selector.attemptStarted(chosen, this.nowMs);
       }
     }
     return counts;
@@ -68,23 +68,23 @@
   }
 }
 
-describe('choice of an endpoint', () => {
-  it('spreads requests in flight evenly', () => {
+describe('endpoint selection', () => {
+  it('distributes requests in flight evenly', () => {
     const counts = new Trial(four).distribution(28, true);
     Object.values(counts).forEach((count) => expect(count).to.be.within(6, 8));
   });
 
-  it('counts what others have in flight, by the reports on answers, and forgets it in time', () => {
+  it('counts requests in flight from other nodes by load reports, which decay with time', () => {
     const trial = new Trial(four.slice(0, 2));
     trial.choose();
-    trial.selector.observedLoad(four[0] as Endpoint, { inFlight: 7, draining: false }, 0);
+    trial.selector.loadObserved(four[0] as Endpoint, { inFlight: 7, draining: false }, 0);
     expect(trial.distribution(20, false)).to.deep.equal({ b: 20 });
     trial.nowMs = 60_000;
-    trial.selector.began(four[1] as Endpoint, trial.nowMs);
+    trial.selector.attemptStarted(four[1] as Endpoint, trial.nowMs);
     expect(trial.choose()).to.equal('a');
   });
 
-  it('stays in its zone until that is nearly full, then in its region', () => {
+  it('prefers its zone until that is nearly full, then its region', () => {
     const trial = new Trial([
       endpoint('near', { slots: 10 }),
       endpoint('region', { zone: 'z2', slots: 10 }),
@@ -95,7 +95,7 @@
     expect(trial.distribution(8, true)).to.have.property('far').that.is.at.least(4);
   });
 
-  it('gives an endpoint that appears later few requests at first', () => {
+  it('sends few requests to an endpoint that was added later, and more after the slow start', () => {
     const trial = new Trial(four.slice(0, 2));
     trial.choose();
     trial.endpoints = four.slice(0, 3);
@@ -116,7 +116,7 @@
     { outcome: 'answered', times: 50, isEjected: false },
   ];
   for (const { outcome, times, isEjected } of ejections) {
-    it(`${isEjected ? 'ejects' : 'keeps'} an endpoint after ${outcome} ${times} times`, () => {
+    it(`${isEjected ? 'ejects' : 'keeps'} an endpoint after outcome ${outcome} ${times} times`, () => {
       const trial = new Trial(four);
       trial.attempt('a', outcome, times);
       expect(trial.ejected()).to.deep.equal(isEjected ? ['a'] : []);
@@ -124,7 +124,7 @@
     });
   }
 
-  it('probes an ejected endpoint with one request that may be repeated, later after each failure', () => {
+  it('probes an ejected endpoint with a repeatable request, and later after each failed probe', () => {
     const trial = new Trial(four);
     trial.attempt('a', 'unreachable', 2);
     trial.nowMs = 1_001;
@@ -140,47 +140,51 @@
     expect(trial.distribution(60, false)).to.have.property('a');
   });
 
-  it('ejects half of the endpoints at most', () => {
+  it('ejects at most half of the endpoints', () => {
     const trial = new Trial(four);
     four.forEach(({ name }) => trial.attempt(name, 'unreachable', 9));
     expect(trial.ejected()).to.deep.equal(['a', 'b']);
   });
 
-  const closed: readonly { name: string; spec?: object; context?: Partial<SelectionContext> }[] = [
+  const closed: readonly {
+    name: string;
+    spec?: object;
+    context?: Partial<SelectionContext>;
+  }[] = [
     { name: 'that the configuration drains', spec: { state: 'draining' } },
-    { name: 'that was tried', context: { tried: new Set([incarnationOf(endpoint('x'))]) } },
-    { name: 'whose node leaves', context: { mayReceive: () => false } },
+    { name: 'that was already tried', context: { tried: new Set([incarnationOf(endpoint('x'))]) } },
+    { name: 'whose node is leaving', context: { mayReceive: () => false } },
   ];
   for (const { name, spec = {}, context = {} } of closed) {
-    it(`never chooses an endpoint ${name}`, () => {
+    it(`never selects an endpoint ${name}`, () => {
       expect(new Trial([endpoint('x', { ...spec })], context).choose()).to.equal(undefined);
     });
   }
 
-  it('sends nothing to an endpoint that said it drains', () => {
+  it('sends no requests to an endpoint that reported draining', () => {
     const trial = new Trial(four.slice(0, 1));
     trial.choose();
-    trial.selector.observedLoad(four[0] as Endpoint, { inFlight: 0, draining: true }, 0);
+    trial.selector.loadObserved(four[0] as Endpoint, { inFlight: 0, draining: true }, 0);
     expect(trial.choose()).to.equal(undefined);
   });
 });
 
-describe('use of an endpoint by nodes that are not beside it', () => {
+describe('direct use of endpoints by nodes', () => {
   const target = endpoint('e', { slots: 20, maxConnections: 130 });
 
-  it('keeps connections free for cancellations', () => {
+  it('reserves connections for cancellations', () => {
     expect(ownedSlots(target)).to.equal(20);
     expect(ownedSlots(endpoint('e', { slots: 20, maxConnections: 16 }))).to.equal(10);
   });
 
-  it('divides an endpoint without a node evenly', () => {
+  it('divides the slots of an endpoint without a node evenly', () => {
     expect([1, 4, 20, 1_800].map((nodes) => sharedSlots(target, nodes))).to.deep.equal([
       20, 5, 1, 1,
     ]);
   });
 
   for (const nodes of [4, 40, 400, 1_800]) {
-    it(`lets few of ${nodes} nodes use an endpoint whose node is gone, within its slots`, () => {
+    it(`lets some of ${nodes} nodes use an endpoint whose node is gone, but no more than it has slots`, () => {
       for (let endpointIndex = 0; endpointIndex < 50; endpointIndex += 1) {
         const orphan = endpoint(`e${endpointIndex}`, { slots: 20 });
         let users = 0;
--- a/test/routing/route-table.test.ts
+++ b/test/routing/route-table.test.ts
@@ -1,4 +1,4 @@
-/** Which route a request takes. */
+/** Matching of requests to routes. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { resourceSchema, type Route } from '../../src/model/resource.js';
@@ -55,7 +55,7 @@
     });
   }
 
-  it('says what may be repeated and how long it may take', () => {
+  it('determines whether a request is repeatable, and its timeout', () => {
     const repeatable = (target: string, method: string): unknown =>
       table.match('a', target, method)?.repeatable;
     expect([repeatable('/', 'GET'), repeatable('/', 'POST')]).to.deep.equal([true, false]);
@@ -67,21 +67,21 @@
     expect(table.match('a', '/', 'GET')?.timeoutMs).to.equal(700);
   });
 
-  it('finds the longest prefix that ends with a segment, as a search of all routes does', () => {
+  it('finds the longest prefix that ends at a segment boundary, like a linear search', () => {
     fc.assert(
       fc.property(fc.uniqueArray(path, { maxLength: 6 }), path, (prefixes, target) => {
         const snapshot = snapshotOf(
           Object.fromEntries(prefixes.map((pathPrefix, index) => [`r${index}`, { pathPrefix }])),
         );
         const found = new RouteTable(snapshot).match('a', target, 'GET')?.route;
-        expect(found?.spec.pathPrefix).to.equal(searchAll(snapshot.routes, target));
+        expect(found?.spec.pathPrefix).to.equal(linearSearch(snapshot.routes, target));
       }),
       { seed: 20_260_103, numRuns: 500 },
     );
   });
 });
 
-function searchAll(routes: readonly Route[], target: string): string | undefined {
+function linearSearch(routes: readonly Route[], target: string): string | undefined {
   return routes
     .map(({ spec }) => spec.pathPrefix)
     .filter((prefix) => {
--- a/test/routing/weighted-targets.test.ts
+++ b/test/routing/weighted-targets.test.ts
@@ -1,4 +1,4 @@
-/** Shares of a route's target services. */
+/** Distribution of requests among the target services of a route. */
 import { expect } from 'chai';
 import type { Route } from '../../src/model/resource.js';
 import { WeightedTargets } from '../../src/routing/weighted-targets.js';
@@ -27,7 +27,7 @@
 }
 
 describe('weighted targets of a route', () => {
-  it('sends all to the service of a route that does not divide', () => {
+  it('sends all requests to the service of a route without targets', () => {
     expect(countsOf(new WeightedTargets(Math.random), route(), 5)).to.deep.equal({ main: 5 });
   });
 
@@ -47,7 +47,7 @@
     });
   }
 
-  it('keeps the fleet at the shares although each node sends few requests', () => {
+  it('keeps the shares across the fleet although each node sends few requests', () => {
     const targets = route([
       { service: 'heavy', weight: 90 },
       { service: 'light', weight: 10 },
@@ -60,7 +60,7 @@
     expect(light / 600).to.be.within(0.05, 0.15);
   });
 
-  it('follows a change of weights', () => {
+  it('applies changed weights', () => {
     const targets = new WeightedTargets(seededRandom(1));
     countsOf(targets, route([{ service: 'a', weight: 1 }]), 10);
     const changed = route([
--- a/tools/bench/decision-figures.ts
+++ b/tools/bench/decision-figures.ts
@@ -64,9 +64,9 @@
   return timeUs((idx) => {
     const endpoint = selector.choose(list, context, idx);
     if (endpoint !== undefined) {
-      selector.began(endpoint, idx);
-      selector.measured(endpoint, 'r0', 100, idx);
-      selector.ended(endpoint, 'answered', list, idx);
+      selector.attemptStarted(endpoint, idx);
+      selector.latencyMeasured(endpoint, 'r0', 100, idx);
+      selector.attemptEnded(endpoint, 'answered', list, idx);
     }
   });
 }
--- a/tools/experiment/received-call.ts
+++ b/tools/experiment/received-call.ts
@@ -6,7 +6,7 @@
 import type { Answer, Attempt, AttemptObserver, Call, LoadReport } from '../../src/proxy/call.js';
 import { refusalLeadMs } from '../../src/proxy/refusal-lead.js';
 import { DeadlinePassedError, type RequestError } from '../../src/proxy/request-error.js';
-import { rankInTime } from '../../src/admission/work-rank.js';
+import { onTimeRank } from '../../src/admission/work-rank.js';
 import type { CancelTimer, Scheduler } from '../../src/proxy/scheduler.js';
 import type { BodyCredit, CreditPool } from '../../src/proxy/relay/credit-pool.js';
 import { collectedCall, type OwnedEndpoints } from '../../src/proxy/relay/relayed-request.js';
@@ -47,7 +47,7 @@
     this.missingBytes = bodyBytes;
     const { credits, gateway } = this.node;
     this.credit = credits.open({
-      rank: rankInTime(this.call.priority),
+      rank: onTimeRank(this.call.priority),
       lengthBytes: bodyBytes,
       grant: (bytes) => this.sender.granted(bytes),
     });
