--- a/test/admission/cold-start-limiter.test.ts
+++ b/test/admission/cold-start-limiter.test.ts
@@ -25,7 +25,7 @@
   | { readonly kind: 'wait'; readonly forMs: number }
   | { readonly kind: 'offer'; readonly count: number; readonly node: number }
   | { readonly kind: 'restart'; readonly node: number; readonly afterMs: number }
-  | { readonly kind: 'news'; readonly node: number };
+  | { readonly kind: 'report'; readonly node: number };
 
 const steps: fc.Arbitrary<Step[]> = fc.array(
   fc.oneof(
@@ -40,7 +40,7 @@
       node: fc.nat(2),
       afterMs: fc.integer({ min: 0, max: 400 }),
     }),
-    fc.record({ kind: fc.constant('news' as const), node: fc.nat(2) }),
+    fc.record({ kind: fc.constant('report' as const), node: fc.nat(2) }),
   ),
   { maxLength: 60 },
 );
@@ -65,7 +65,7 @@
     if (step.kind === 'restart') {
       nowMs += step.afterMs;
       limiters[node] = startNode(nowMs);
-    } else if (step.kind === 'news') {
+    } else if (step.kind === 'report') {
       limiter.updateColdPeriod(ALWAYS_COLD_MS, nowMs);
     } else {
       for (let sends = Math.min(step.count, limiter.availableAt(nowMs)); sends > 0; sends -= 1) {
@@ -153,8 +153,8 @@
     const limiter = createLimiter();
     const admission = new EndpointAdmission(50, Infinity, 2, limiter);
     limiter.updateColdPeriod(3_000, 0);
-    const room = limiter.availableAt(0);
-    for (let count = 0; count < room; count += 1) {
+    const available = limiter.availableAt(0);
+    for (let count = 0; count < available; count += 1) {
       expect(admission.offer(ticket(`r${count}`, 9_000), 0)).to.have.length(1);
     }
     expect(admission.resumeDelayMs(0)).to.equal(undefined);
--- a/test/admission/short-late-work.test.ts
+++ b/test/admission/short-late-work.test.ts
@@ -106,9 +106,9 @@
 
   it('reduces the served share of the long work by no more than the time it needs', () => {
     const alone = servedShares([ORDERS]).get('order') ?? 0;
-    const beside = servedShares([ORDERS, LATE_CALLS]).get('order') ?? 0;
+    const together = servedShares([ORDERS, LATE_CALLS]).get('order') ?? 0;
     const neededShare =
       LATE_CALLS.workMs / LATE_CALLS.everyMs / SLOTS + 1 / (RUN_MS / ORDERS.everyMs);
-    expect(alone - beside).to.be.at.most(neededShare + 0.05);
+    expect(alone - together).to.be.at.most(neededShare + 0.05);
   });
 });
--- a/test/containment/containment-model.test.ts
+++ b/test/containment/containment-model.test.ts
@@ -14,7 +14,7 @@
 const SEQUENCE_LENGTH = 4;
 const NOW_MS = 1_000;
 
-interface KnownCrashes {
+interface CrashSets {
   readonly crashes: Set<string>;
   readonly cleared: Set<string>;
 }
@@ -22,7 +22,7 @@
 /** A node with its table and the model of it. */
 class ModelNode {
   table = new SuspicionTable();
-  private known = new Map<string, KnownCrashes>();
+  private entries = new Map<string, CrashSets>();
 
   crash(fingerprints: readonly string[], crash: string): void {
     const accused = fingerprints.filter((one) => this.countOf(one) >= 2);
@@ -50,7 +50,7 @@
 
   restart(): void {
     this.table = new SuspicionTable();
-    this.known = new Map();
+    this.entries = new Map();
   }
 
   standingOf(fingerprint: string): Standing {
@@ -65,11 +65,11 @@
     return crashes.size - cleared.size;
   }
 
-  private entryOf(fingerprint: string): KnownCrashes {
-    let entry = this.known.get(fingerprint);
+  private entryOf(fingerprint: string): CrashSets {
+    let entry = this.entries.get(fingerprint);
     if (entry === undefined) {
       entry = { crashes: new Set(), cleared: new Set() };
-      this.known.set(fingerprint, entry);
+      this.entries.set(fingerprint, entry);
     }
     return entry;
   }
@@ -140,10 +140,10 @@
 function check(fleet: ModelFleet, order: readonly number[]): void {
   fleet.nodes.forEach((node, idx) => {
     for (const fingerprint of FINGERPRINTS) {
-      const held = node.table.standingOf(fingerprint, NOW_MS);
-      if (held !== node.standingOf(fingerprint)) {
+      const actual = node.table.standingOf(fingerprint, NOW_MS);
+      if (actual !== node.standingOf(fingerprint)) {
         const names = order.map((position) => EVENTS[position]?.[0]).join(', ');
-        expect.fail(`${fingerprint[0]} at ${idx}: ${held} after ${names}`);
+        expect.fail(`${fingerprint[0]} at ${idx}: ${actual} after ${names}`);
       }
     }
   });
--- a/test/containment/suspicion-flood.test.ts
+++ b/test/containment/suspicion-flood.test.ts
@@ -10,8 +10,8 @@
 const PARTS = { method: 'GET', target: '/a', headers: ['Host', 'h'], body: EMPTY_BODY };
 
 function peer(id: string): PeerIdentity {
-  const place = { address: '127.0.0.1', controlPort: 1, relayPort: 2, zone: 'z', region: 'r' };
-  return { id, incarnation: 1, ...place };
+  const fields = { address: '127.0.0.1', controlPort: 1, relayPort: 2, zone: 'z', region: 'r' };
+  return { id, incarnation: 1, ...fields };
 }
 
 /** One node, which handles its own events immediately. */
--- a/test/containment/suspicion-table.test.ts
+++ b/test/containment/suspicion-table.test.ts
@@ -172,11 +172,11 @@
 
   it('returns no changes when the same suspicions are merged again', () => {
     fc.assert(
-      fc.property(messages, (told) => {
+      fc.property(messages, (suspicions) => {
         const table = new SuspicionTable();
-        table.merge(told, 0);
+        table.merge(suspicions, 0);
         const { digest } = table;
-        expect(table.merge(told, 0)).to.deep.equal([]);
+        expect(table.merge(suspicions, 0)).to.deep.equal([]);
         expect(table.digest).to.equal(digest);
       }),
     );
--- a/test/routing/least-latency-strategy.test.ts
+++ b/test/routing/least-latency-strategy.test.ts
@@ -56,11 +56,11 @@
   });
 
   it('prefers the endpoint on the machine of the node unless it is much slower', () => {
-    const beside = { ...near, spec: { ...near.spec, machine: 'n1' } };
+    const local = { ...near, spec: { ...near.spec, machine: 'n1' } };
     const elsewhere = { ...other, spec: { ...other.spec, machine: 'n2' } };
     const chosenAt = (besideMs: number): (string | undefined)[] => {
       const latencies = new Map([
-        [beside, besideMs],
+        [local, besideMs],
         [elsewhere, 100],
       ]);
       return [...chosenNames(latencies, 0, { ...CONTEXT, machineId: 'n1' })];
