--- a/src/proxy/kept-answer.ts
+++ b/src/proxy/buffered-answer.ts
@@ -5,11 +5,15 @@
  * Reads the body of `answer` to its end, so that its connection can be used again, and gives the answer to
  * `keep` once it is whole, unless it has more than `maxBytes`.
  */
-export function keepAnswer(answer: Answer, maxBytes: number, keep: (kept: Answer) => void): void {
+export function bufferAnswer(
+  answer: Answer,
+  maxBytes: number,
+  onBuffered: (kept: Answer) => void,
+): void {
   const { body } = answer;
   if (body.kind === 'held') {
     if (body.bytes.length <= maxBytes) {
-      keep(answer);
+      onBuffered(answer);
     }
     return;
   }
@@ -26,7 +30,7 @@
   body.stream.on('error', () => undefined);
   body.stream.once('close', () => {
     if (body.isWhole() && sizeBytes <= maxBytes) {
-      keep({ ...answer, body: { kind: 'held', bytes: Buffer.concat(chunks) } });
+      onBuffered({ ...answer, body: { kind: 'held', bytes: Buffer.concat(chunks) } });
     }
   });
 }
--- a/src/proxy/caller-connections.ts
+++ b/src/proxy/caller-connections.ts
@@ -13,7 +13,7 @@
   ConnectionEndReason,
 } from './connection-end.js';
 import { ReadingPause } from './reading-pause.js';
-import { MAX_WAITING_BYTES } from './response-sink.js';
+import { MAX_BUFFERED_BYTES } from './response-sink.js';
 import { MACHINE_TIME } from './scheduler.js';
 import { SocketPoll } from './socket-poll.js';
 import { LINGER_MS, LingeringCloses } from './lingering-close.js';
@@ -157,7 +157,11 @@
 
   private beginDeferred(socket: Duplex): void {
     const queue = this.deferred.get(socket) ?? [];
-    while (queue.length > 0 && !socket.destroyed && this.waitingBytes(socket) < MAX_WAITING_BYTES) {
+    while (
+      queue.length > 0 &&
+      !socket.destroyed &&
+      this.waitingBytes(socket) < MAX_BUFFERED_BYTES
+    ) {
       queue.shift()?.();
     }
   }
--- a/src/proxy/caller-server.ts
+++ b/src/proxy/caller-server.ts
@@ -16,7 +16,7 @@
 import type { Answer } from './call.js';
 import { sendError } from './error-answer.js';
 import { headerValue, messageHeaders, parseMilliseconds, type HeaderList } from './headers.js';
-import { createMalformedListener } from './malformed-request.js';
+import { createMalformedRequestListener } from './malformed-request.js';
 import type { ConnectionEndReason } from './connection-end.js';
 import type { ProxyLimits } from './proxy-limits.js';
 import { BadRequestError, type RequestError } from './request-error.js';
@@ -74,7 +74,7 @@
     const holding = { holdBytes, ...(collection && { collection }) };
     const sink = new ResponseSink(this.response, () => this.closeWhenStopping());
     this.sink = sink;
-    this.connections.answerWaits(this.response, () => sink.waitingBytes);
+    this.connections.answerWaits(this.response, () => sink.bufferedBytes);
     passAnswer(answer, sink, headers, holding, observer);
   }
 
@@ -183,7 +183,7 @@
   });
   server.on('checkExpectation', take);
   server.on('timeout', (socket: Socket) => void connections.closeUnused(socket));
-  server.on('clientError', createMalformedListener(connections));
+  server.on('clientError', createMalformedRequestListener(connections));
   return server;
 }
 
--- a/src/proxy/endpoint-gate.ts
+++ b/src/proxy/endpoint-gate.ts
@@ -18,7 +18,7 @@
 import type { EndpointPort } from './endpoint-client.js';
 import { closedReasonOf, coldNewsOf, type EndpointTerms } from './endpoint-terms.js';
 import { GatedCall, type CallGate, type CancelLead } from './gated-call.js';
-import { LossJudge } from './loss-judge.js';
+import { ProcessExitDetector } from './process-exit-detector.js';
 import type { RequestError } from './request-error.js';
 import { namedFingerprint, type RequestLog } from './request-log.js';
 import type { CancelTimer, Scheduler } from './scheduler.js';
@@ -57,7 +57,7 @@
   private readonly calls = new Map<string, GatedCall>();
   private readonly failures = new FailureShare();
   private readonly containment: CallContainment;
-  private readonly losses: LossJudge<GatedCall>;
+  private readonly losses: ProcessExitDetector<GatedCall>;
   private readonly lane = new SuspectLane();
   /** Requests under suspicion that wait until others of them are over. */
   private readonly heldBack = new Set<GatedCall>();
@@ -81,11 +81,11 @@
       this.meter,
     );
     this.containment = options.containment ?? NO_CONTAINMENT;
-    this.losses = new LossJudge({
-      atWork: () => [...this.calls.values()].filter((one) => one.isAtWork()).reverse(),
+    this.losses = new ProcessExitDetector({
+      inProgress: () => [...this.calls.values()].filter((one) => one.isInProgress()).reverse(),
       probeListening: (report) => options.client.probeListening(endpoint, report),
       schedule: (delayMs, action) => options.scheduler.schedule(delayMs, action),
-      onEnd: (work) => this.takeEnd(work),
+      onExit: (work) => this.takeEnd(work),
     });
   }
 
@@ -159,23 +159,23 @@
     this.leaveLane(call.requestId);
   }
 
-  gaveUp({ workClass }: Call, elapsedMs: number): void {
+  recordUnfinished({ workClass }: Call, elapsedMs: number): void {
     this.admission.unfinished(workClass, elapsedMs);
   }
 
-  judgeLoss(gated: GatedCall, report: (hasEnded: boolean) => void): void {
-    this.losses.lost(gated, report);
+  classifyLoss(gated: GatedCall, report: (hasEnded: boolean) => void): void {
+    this.losses.connectionLost(gated, report);
   }
 
   /** A fault clears nobody: a request may fail in one place and end the process in another. */
-  answeredWhole(gated: GatedCall, isSuccess: boolean): void {
+  answerCompleted(gated: GatedCall, isSuccess: boolean): void {
     this.losses.answered(gated);
     if (isSuccess) {
       this.containment.answered(gated.call);
     }
   }
 
-  takeLoad(load: LoadReport | undefined): void {
+  applyLoadReport(load: LoadReport | undefined): void {
     if (load !== undefined && load.slots > 0) {
       this.admission.endpointReported(load.inFlight, this.options.scheduler.now());
     }
@@ -185,12 +185,12 @@
     }
   }
 
-  takeOutcome(hasFailed: boolean): void {
+  recordOutcome(hasFailed: boolean): void {
     this.failures.take(hasFailed, this.options.scheduler.now());
   }
 
-  takeRefusal(load: LoadReport | undefined): void {
-    this.takeLoad(load);
+  applyRefusal(load: LoadReport | undefined): void {
+    this.applyLoadReport(load);
     this.admission.endpointRefused();
   }
 
@@ -222,7 +222,7 @@
     const waiting = [...this.calls.values()].filter((gated) => this.takeOut(gated));
     this.admission.handOverPlaces(next.admission);
     if (startedBefore(this.endpoint, next.endpoint)) {
-      this.losses.succeeded();
+      this.losses.endpointRestarted();
     }
     for (const gated of waiting) {
       this.lane.leave(gated.call.requestId);
@@ -250,7 +250,7 @@
     const { call } = gated;
     this.calls.set(call.requestId, gated);
     this.offer(gated);
-    gated.waitUntil(this.admission.latestStartAtMs(call, this.options.scheduler.now()));
+    gated.scheduleExpiry(this.admission.latestStartAtMs(call, this.options.scheduler.now()));
   }
 
   /** Whether the request waited here; it does no more. */
--- a/src/proxy/gated-call.ts
+++ b/src/proxy/gated-call.ts
@@ -13,7 +13,7 @@
 } from './endpoint-attempt.js';
 import type { EndpointPort } from './endpoint-client.js';
 import type { Exchange, ExchangeFailure } from './http-exchange.js';
-import type { EndpointWork } from './loss-judge.js';
+import type { EndpointRequest } from './process-exit-detector.js';
 import { refusalLeadMs } from './refusal-lead.js';
 import type { CancelTimer, Scheduler } from './scheduler.js';
 import { CannotFinishInTimeError, EndpointGoneError, type RequestError } from './request-error.js';
@@ -24,7 +24,7 @@
 const ORPHAN_HOLD_MS = 1_000;
 
 /** Answers from this status on report a fault of the endpoint. */
-const FAULT_STATUS = 500;
+const MIN_SERVER_ERROR_STATUS = 500;
 
 /** How requests are cancelled: the time that is kept for it at their end, and what it does. */
 export interface CancelLead {
@@ -47,23 +47,23 @@
   /** A dispatched request no longer occupies the endpoint; with its time when it was answered. */
   release(call: Call, serviceMs: number | undefined): void;
   /** A dispatched request is given up while the endpoint is at work on it, for `elapsedMs` so far. */
-  gaveUp(call: Call, elapsedMs: number): void;
+  recordUnfinished(call: Call, elapsedMs: number): void;
   /** The endpoint answered and told its load. */
-  takeLoad(load: LoadReport | undefined): void;
+  applyLoadReport(load: LoadReport | undefined): void;
   /** What a dispatched request came to, where that speaks for the endpoint. */
-  takeOutcome(hasFailed: boolean): void;
+  recordOutcome(hasFailed: boolean): void;
   /** The endpoint got the request and did not answer it; for the log. */
   recordFailure(call: Call, code: string, elapsedMs: number, detail: string): void;
   /** The endpoint refused before the start. */
-  takeRefusal(load: LoadReport | undefined): void;
+  applyRefusal(load: LoadReport | undefined): void;
   /** The connection was lost; `report` gets whether the endpoint's process ended. */
-  judgeLoss(gated: GatedCall, report: (hasEnded: boolean) => void): void;
+  classifyLoss(gated: GatedCall, report: (hasExited: boolean) => void): void;
   /** The endpoint answered in whole; `isSuccess` unless the answer reports a fault of its own. */
-  answeredWhole(gated: GatedCall, isSuccess: boolean): void;
+  answerCompleted(gated: GatedCall, isSuccess: boolean): void;
 }
 
 /** One request. */
-export class GatedCall implements Attempt, EndpointWork {
+export class GatedCall implements Attempt, EndpointRequest {
   private attempt: EndpointAttempt | undefined;
   private exchange: Exchange | undefined;
   private answer: Answer | undefined;
@@ -84,13 +84,13 @@
     readonly call: Call,
     private readonly observer: AttemptObserver,
     private readonly scheduler: Scheduler,
-    private readonly lead: CancelLead,
+    private readonly cancelLead: CancelLead,
   ) {}
 
   abort(): void {
     this.isAbandoned = true;
     if (this.attempt !== undefined) {
-      this.noteUnfinished();
+      this.recordUnfinished();
       this.handle({ type: 'abandoned', wasSent: this.exchange?.wasSent() === true });
     } else if (!this.isOver) {
       this.isOver = true;
@@ -111,22 +111,22 @@
   }
 
   /** Whether the endpoint has got the request, so that it may be at work on it until its slot is free. */
-  isAtWork(): boolean {
+  isInProgress(): boolean {
     return this.exchange?.wasSent() === true;
   }
 
   isConnected(): boolean {
-    return this.isAtWork() && !this.isExchangeOver;
+    return this.isInProgress() && !this.isExchangeOver;
   }
 
   /** Refuses the request when it still waits at `latestStartAtMs`. */
-  waitUntil(latestStartAtMs: number): void {
+  scheduleExpiry(latestStartAtMs: number): void {
     if (this.attempt === undefined && !this.isOver) {
       const nowMs = this.scheduler.now();
-      const leftMs = this.call.deadlineAtMs - nowMs;
-      const leadMs = Math.max(this.cancelLeadMs(nowMs), refusalLeadMs(leftMs));
-      const lastMomentMs = this.call.deadlineAtMs - leadMs;
-      const delayMs = Math.min(latestStartAtMs, lastMomentMs) - nowMs;
+      const remainingMs = this.call.deadlineAtMs - nowMs;
+      const leadMs = Math.max(this.cancelLeadMs(nowMs), refusalLeadMs(remainingMs));
+      const latestExpiryAtMs = this.call.deadlineAtMs - leadMs;
+      const delayMs = Math.min(latestStartAtMs, latestExpiryAtMs) - nowMs;
       this.cancelTimer = this.scheduler.schedule(delayMs, () => this.expireWaiting());
     }
   }
@@ -144,34 +144,34 @@
     const remainingMs = this.call.deadlineAtMs - this.dispatchedAtMs;
     const workMs = remainingMs - this.cancelLeadMs(this.dispatchedAtMs);
     this.cancelTimer = this.scheduler.schedule(workMs, () => {
-      this.noteUnfinished();
+      this.recordUnfinished();
       this.handle({ type: 'deadline', wasSent: this.exchange?.wasSent() === true });
     });
     this.exchange = this.client.send(this.endpoint, this.call, workMs, {
-      answered: (answer) => this.takeAnswer(answer),
+      answered: (answer) => this.handleAnswer(answer),
       refused: (load, retryAfterMs, isOtherEndpoint) => {
         this.isEndpointGone = isOtherEndpoint;
-        this.takeRefusal(load, retryAfterMs);
+        this.handleRefusal(load, retryAfterMs);
       },
-      failed: (failure) => this.takeLoss(failure),
+      failed: (failure) => this.handleFailure(failure),
     });
   }
 
   /** Without such times only what an endpoint finished would count: the slower it is, the less of it. */
-  private noteUnfinished(): void {
+  private recordUnfinished(): void {
     if (this.answer === undefined && this.isConnected()) {
-      this.gate.gaveUp(this.call, this.scheduler.now() - this.dispatchedAtMs);
+      this.gate.recordUnfinished(this.call, this.scheduler.now() - this.dispatchedAtMs);
     }
   }
 
-  private takeLoss(failure: ExchangeFailure): void {
+  private handleFailure(failure: ExchangeFailure): void {
     this.isExchangeOver = true;
     if (failure !== 'lost') {
       this.handle({ type: 'failed', failure });
       return;
     }
-    this.gate.judgeLoss(this, (hasEnded) => {
-      this.handle(hasEnded ? { type: 'ended' } : { type: 'failed', failure });
+    this.gate.classifyLoss(this, (hasExited) => {
+      this.handle(hasExited ? { type: 'ended' } : { type: 'failed', failure });
     });
   }
 
@@ -182,36 +182,36 @@
     }
   }
 
-  private takeAnswer(answer: Answer): void {
+  private handleAnswer(answer: Answer): void {
     this.answer = answer;
-    this.gate.takeLoad(answer.load);
+    this.gate.applyLoadReport(answer.load);
     const { body } = answer;
     if (body.kind === 'held') {
       this.handle({ type: 'answered' });
-      this.endAnswer(answer.status, true);
+      this.handleAnswerEnd(answer.status, true);
       return;
     }
-    body.stream.once('close', () => this.endAnswer(answer.status, body.isWhole()));
+    body.stream.once('close', () => this.handleAnswerEnd(answer.status, body.isWhole()));
     this.handle({ type: 'answered' });
   }
 
-  private endAnswer(status: number, isWhole: boolean): void {
+  private handleAnswerEnd(status: number, isWhole: boolean): void {
     this.isExchangeOver = true;
     if (isWhole) {
-      this.gate.answeredWhole(this, status < FAULT_STATUS);
+      this.gate.answerCompleted(this, status < MIN_SERVER_ERROR_STATUS);
     } else if (!this.isAbandoned) {
-      this.gate.judgeLoss(this, () => undefined);
+      this.gate.classifyLoss(this, () => undefined);
     }
     if (!this.isAbandoned) {
-      this.gate.takeOutcome(!isWhole || status >= FAULT_STATUS);
+      this.gate.recordOutcome(!isWhole || status >= MIN_SERVER_ERROR_STATUS);
     }
     this.handle({ type: 'answer-ended', isWhole });
   }
 
-  private takeRefusal(load: LoadReport | undefined, retryAfterMs: number | undefined): void {
+  private handleRefusal(load: LoadReport | undefined, retryAfterMs: number | undefined): void {
     this.load = load;
     this.retryAfterMs = retryAfterMs;
-    this.gate.takeRefusal(load);
+    this.gate.applyRefusal(load);
     this.handle({ type: 'refused' });
   }
 
@@ -224,7 +224,7 @@
   private execute(effect: EndpointAttemptEffect): void {
     switch (effect.type) {
       case 'pass-answer':
-        return this.passAnswer();
+        return this.forwardAnswer();
       case 'report':
         return this.report(effect.report);
       case 'send-cancel':
@@ -242,7 +242,7 @@
   private report(report: AttemptReport): void {
     const error = this.errorOf(report);
     if (report !== 'refused') {
-      this.gate.takeOutcome(true);
+      this.gate.recordOutcome(true);
     }
     const elapsedMs = this.scheduler.now() - this.dispatchedAtMs;
     this.gate.recordFailure(this.call, error.code, elapsedMs, this.describeLoad());
@@ -254,7 +254,7 @@
     return this.load === undefined ? '' : `load ${this.load.inFlight}/${this.load.slots}`;
   }
 
-  private passAnswer(): void {
+  private forwardAnswer(): void {
     if (this.answer !== undefined) {
       this.cancelTimer?.();
       const draining = this.answer.load?.draining === true;
@@ -265,21 +265,24 @@
 
   private sendCancel(): void {
     this.cancelTimer?.();
-    const leftMs = this.call.deadlineAtMs - this.scheduler.now();
-    const timeoutMs = Math.max(MIN_CANCEL_TIMEOUT_MS, Math.min(this.lead.maxCancelLeadMs, leftMs));
+    const remainingMs = this.call.deadlineAtMs - this.scheduler.now();
+    const timeoutMs = Math.max(
+      MIN_CANCEL_TIMEOUT_MS,
+      Math.min(this.cancelLead.maxCancelLeadMs, remainingMs),
+    );
     this.client.cancel(this.endpoint, this.call.requestId, timeoutMs, (outcome) => {
       this.handle({ type: 'cancel-answered', outcome });
     });
   }
 
   private cancelLeadMs(nowMs: number): number {
-    const { cancelLeadShare, maxCancelLeadMs } = this.lead;
+    const { cancelLeadShare, maxCancelLeadMs } = this.cancelLead;
     return Math.min(maxCancelLeadMs, (this.call.deadlineAtMs - nowMs) * cancelLeadShare);
   }
 
   private holdSlot(): void {
     const untilDeadlineMs = Math.max(0, this.call.deadlineAtMs - this.scheduler.now());
-    const holdMs = this.lead.slotFreedAfterCloseMs ?? untilDeadlineMs + ORPHAN_HOLD_MS;
+    const holdMs = this.cancelLead.slotFreedAfterCloseMs ?? untilDeadlineMs + ORPHAN_HOLD_MS;
     this.cancelTimer = this.scheduler.schedule(holdMs, () => this.handle({ type: 'hold-over' }));
   }
 
--- a/src/proxy/headers.ts
+++ b/src/proxy/headers.ts
@@ -71,7 +71,11 @@
   for (let index = 0; index + 1 < raw.length; index += 2) {
     const name = raw[index] ?? '';
     const value = raw[index + 1] ?? '';
-    if (name.length !== 10 || name.toLowerCase() !== 'connection' || isCommonOption(value)) {
+    if (
+      name.length !== 10 ||
+      name.toLowerCase() !== 'connection' ||
+      isStandardConnectionValue(value)
+    ) {
       continue;
     }
     nominated ??= new Set();
@@ -83,6 +87,6 @@
   return nominated;
 }
 
-function isCommonOption(value: string): boolean {
+function isStandardConnectionValue(value: string): boolean {
   return value === 'keep-alive' || value === 'close';
 }
--- a/src/proxy/http-exchange.ts
+++ b/src/proxy/http-exchange.ts
@@ -24,7 +24,7 @@
 /** Gets the outcome: one of the two, once. */
 export interface ExchangeObserver {
   /** `isWhole` tells, once the message has closed, whether its body arrived in full. */
-  answered(message: http.IncomingMessage, isWhole: () => boolean): void;
+  answered(message: http.IncomingMessage, isComplete: () => boolean): void;
   /** `wasReused` tells whether the connection had carried a request before. */
   failed(failure: ExchangeFailure, wasReused: boolean): void;
 }
@@ -115,7 +115,7 @@
   private connected = false;
   private settled = false;
   /** Whether the connection failed, at any time: an answer that ends with it is not whole. */
-  private hasFailed = false;
+  private hasConnectionFailed = false;
   private connectTimer: NodeJS.Timeout | undefined;
 
   constructor(
@@ -136,8 +136,8 @@
       setHost: false,
     };
     this.request = http.request(options);
-    this.request.once('socket', (socket) => this.watchConnection(socket, exchange));
-    this.request.on('response', (message) => this.takeAnswer(message));
+    this.request.once('socket', (socket) => this.sendWhenConnected(socket, exchange));
+    this.request.on('response', (message) => this.handleResponse(message));
     this.request.on('error', (error) => this.fail(error));
     this.request.on('upgrade', (_message, socket) => {
       socket.destroy();
@@ -158,7 +158,7 @@
     this.request.destroy();
   }
 
-  private watchConnection(socket: Socket, exchange: ExchangeRequest): void {
+  private sendWhenConnected(socket: Socket, exchange: ExchangeRequest): void {
     if (!socket.connecting) {
       this.send(exchange.body);
       return;
@@ -166,7 +166,7 @@
     const { connectTimeoutMs } = exchange.limits;
     // After a pause of the process the connection may be open, and the timer come before that is read.
     this.connectTimer = setTimeout(
-      () => setImmediate(() => this.endUnconnected()),
+      () => setImmediate(() => this.handleConnectTimeout()),
       connectTimeoutMs,
     );
     socket.once('connect', () => {
@@ -175,7 +175,7 @@
     });
   }
 
-  private endUnconnected(): void {
+  private handleConnectTimeout(): void {
     if (!this.connected) {
       this.request.destroy();
     }
@@ -192,12 +192,12 @@
     }
   }
 
-  private takeAnswer(message: http.IncomingMessage): void {
+  private handleResponse(message: http.IncomingMessage): void {
     if (this.settled) {
       message.destroy();
       return;
     }
-    const isFramed = isEndCheckable(this.request.method, message);
+    const isFramed = hasVerifiableEnd(this.request.method, message);
     if (!isFramed && this.exchange.allowsUnframedAnswer !== true) {
       this.settle('malformed');
       message.destroy();
@@ -205,7 +205,7 @@
     }
     this.settled = true;
     if (!isFramed) {
-      this.watchForReset(message.socket);
+      this.detectReset(message.socket);
     }
     message.setTimeout(this.exchange.limits.answerIdleTimeoutMs, () => message.destroy());
     message.once('end', () => {
@@ -213,21 +213,24 @@
         this.request.destroy();
       }
     });
-    this.observer.answered(message, () => message.complete && (isFramed || !this.hasFailed));
+    this.observer.answered(
+      message,
+      () => message.complete && (isFramed || !this.hasConnectionFailed),
+    );
   }
 
   /**
    * A reset that arrives together with the last bytes is reported as an orderly end. The two are told
    * apart by the peer's address, which a socket that was reset no longer has.
    */
-  private watchForReset(socket: Socket): void {
+  private detectReset(socket: Socket): void {
     socket.prependOnceListener('end', () => {
-      this.hasFailed ||= socket.remoteAddress === undefined;
+      this.hasConnectionFailed ||= socket.remoteAddress === undefined;
     });
   }
 
   private fail(error: Error & { code?: string }): void {
-    this.hasFailed = true;
+    this.hasConnectionFailed = true;
     if (!this.connected) {
       this.settle('never-sent');
     } else {
@@ -244,7 +247,7 @@
 }
 
 /** An answer that ends with its connection can't be told from a truncated one. */
-function isEndCheckable(method: string, message: http.IncomingMessage): boolean {
+function hasVerifiableEnd(method: string, message: http.IncomingMessage): boolean {
   const status = message.statusCode ?? 0;
   const hasNoBody = method === 'HEAD' || status === 204 || status === 304;
   const isFramed =
--- a/src/proxy/malformed-request.ts
+++ b/src/proxy/malformed-request.ts
@@ -8,11 +8,11 @@
 /** Time for which a caller may read what it was told whose bytes were no request, in milliseconds. */
 const MALFORMED_LINGER_MS = 500;
 /** Codes of the errors that Node's HTTP parser reports. */
-const PARSER_CODE = /^HPE_/;
+const PARSER_CODE_PATTERN = /^HPE_/;
 /** A head that has not arrived in time. */
-const LATE_CODE = 'ERR_HTTP_REQUEST_TIMEOUT';
+const REQUEST_TIMEOUT_CODE = 'ERR_HTTP_REQUEST_TIMEOUT';
 /** The caller ended its side within a request. */
-const ENDED_CODE = 'HPE_INVALID_EOF_STATE';
+const UNEXPECTED_EOF_CODE = 'HPE_INVALID_EOF_STATE';
 
 /** Takes an error of a connection, be it of the parser or of the socket. */
 export type ConnectionErrorListener = (error: NodeJS.ErrnoException, socket: Duplex) => void;
@@ -22,19 +22,21 @@
  * answered first: the connection would close under them, and their callers would take the error for
  * their answer. Each has a deadline, which bounds the wait.
  */
-export function createMalformedListener(connections: CallerConnections): ConnectionErrorListener {
+export function createMalformedRequestListener(
+  connections: CallerConnections,
+): ConnectionErrorListener {
   /** Connections whose first error has been taken. */
-  const taken = new WeakSet<Duplex>();
+  const handled = new WeakSet<Duplex>();
   return ({ code = '' }, socket) => {
-    if (isLost(code, connections.hasOpenRequest(socket))) {
+    if (hasNoRecipient(code, connections.hasOpenRequest(socket))) {
       socket.destroy();
       return;
     }
     // The parser reports each further piece that arrives: a second answer would follow the first.
-    if (taken.has(socket)) {
+    if (handled.has(socket)) {
       return;
     }
-    taken.add(socket);
+    handled.add(socket);
     if (connections.hasOpenRequest(socket) && !connections.hasWholeRequest(socket)) {
       socket.destroy();
       return;
@@ -43,7 +45,7 @@
     connections.onceAnswered(socket, () => {
       // A request whose body is broken is still open: it would take the answer for its own.
       if (!connections.hasOpenRequest(socket) && socket.writable) {
-        socket.write(answerTo(code));
+        socket.write(errorResponse(code));
       }
       connections.close(socket, 'malformed', MALFORMED_LINGER_MS);
     });
@@ -51,12 +53,12 @@
 }
 
 /** Whether nobody is left to be told; who ends its side gets no answers to open requests either. */
-function isLost(code: string, hasOpenRequest: boolean): boolean {
-  const isMalformed = PARSER_CODE.test(code) || code === LATE_CODE;
-  return !isMalformed || (code === ENDED_CODE && hasOpenRequest);
+function hasNoRecipient(code: string, hasOpenRequest: boolean): boolean {
+  const isProtocolError = PARSER_CODE_PATTERN.test(code) || code === REQUEST_TIMEOUT_CODE;
+  return !isProtocolError || (code === UNEXPECTED_EOF_CODE && hasOpenRequest);
 }
 
-function answerTo(code: string): string {
+function errorResponse(code: string): string {
   const status = statusOf(code);
   const body = errorBody('BAD_REQUEST', `the request is malformed: ${code}`, 'not-run');
   return (
@@ -70,7 +72,7 @@
   switch (code) {
     case 'HPE_HEADER_OVERFLOW':
       return 431;
-    case LATE_CODE:
+    case REQUEST_TIMEOUT_CODE:
       return 408;
     default:
       return 400;
--- a/src/proxy/pause-detector.ts
+++ b/src/proxy/pause-detector.ts
@@ -6,75 +6,75 @@
 import { LOOK_INTERVAL_MS } from '../clock/shared-interval.js';
 
 /** A gap between two looks that counts as a pause, in milliseconds. */
-const PAUSE_MS = 400;
+const MIN_PAUSE_MS = 400;
 /** For this long after a pause, what arrives may be old, in milliseconds. */
-const WAKE_PERIOD_MS = 50;
+const RESUME_PERIOD_MS = 50;
 /** A look that is late by more shows that the process did not run, in milliseconds. */
-const USUAL_LATENESS_MS = 30;
+const MAX_NORMAL_DELAY_MS = 30;
 /**
  * For this long after a late look, a signal that is heard of may have come before it, in milliseconds: a process that
  * gets the processor in short turns reads other things first.
  */
-const SIGNAL_PERIOD_MS = LOOK_INTERVAL_MS;
+const SIGNAL_AGE_PERIOD_MS = LOOK_INTERVAL_MS;
 
 /** A time between two looks in which the process did not run for a while. */
-interface LateLook {
+interface LateCheck {
   readonly fromMs: number;
   readonly untilMs: number;
 }
 
 /** Decides from the times at which it was called. */
 export class PauseDetector {
-  private wokenAtMs = -Infinity;
+  private resumedAtMs = -Infinity;
   /** Whether what came during the latest pause has been read. */
-  private hasReadAll = true;
+  private hasReadBacklog = true;
   private lastTickMs = Infinity;
-  private lateLook: LateLook = { fromMs: -Infinity, untilMs: -Infinity };
+  private lateCheck: LateCheck = { fromMs: -Infinity, untilMs: -Infinity };
 
   /**
    * `onDelayMs` gets how late each look was, in milliseconds: other work kept the process busy. `readAll` calls its
    * action once the process has read what has arrived.
    */
   constructor(
-    private lastLookMs: number,
+    private lastCheckMs: number,
     private readonly onDelayMs?: (delayMs: number) => void,
-    private readonly readAll: (action: () => void) => void = (action) => action(),
+    private readonly afterSocketsRead: (action: () => void) => void = (action) => action(),
   ) {}
 
   /** The regular look. */
   tick(nowMs: number): void {
     this.onDelayMs?.(Math.max(0, nowMs - this.lastTickMs - LOOK_INTERVAL_MS));
     this.lastTickMs = nowMs;
-    this.look(nowMs);
+    this.check(nowMs);
   }
 
   /** Looks at the clock; to be called at least every {@link LOOK_INTERVAL_MS}. */
-  look(nowMs: number): void {
-    if (nowMs - this.lastLookMs > PAUSE_MS) {
-      this.wokenAtMs = nowMs;
-      this.hasReadAll = false;
-      this.readAll(() => (this.hasReadAll = true));
+  check(nowMs: number): void {
+    if (nowMs - this.lastCheckMs > MIN_PAUSE_MS) {
+      this.resumedAtMs = nowMs;
+      this.hasReadBacklog = false;
+      this.afterSocketsRead(() => (this.hasReadBacklog = true));
     }
     if (this.isLate(nowMs)) {
-      this.lateLook = { fromMs: this.lastLookMs, untilMs: nowMs };
+      this.lateCheck = { fromMs: this.lastCheckMs, untilMs: nowMs };
     }
-    this.lastLookMs = nowMs;
+    this.lastCheckMs = nowMs;
   }
 
   /** Whether the process has just woken, or has not read yet what came during the pause. */
-  hasJustWoken(nowMs: number): boolean {
-    this.look(nowMs);
-    return !this.hasReadAll || nowMs - this.wokenAtMs < WAKE_PERIOD_MS;
+  hasJustResumed(nowMs: number): boolean {
+    this.check(nowMs);
+    return !this.hasReadBacklog || nowMs - this.resumedAtMs < RESUME_PERIOD_MS;
   }
 
   /** Longest time for which a signal may have waited that is heard of now, in milliseconds. */
   signalAgeMs(nowMs: number): number {
-    this.look(nowMs);
-    const { fromMs, untilMs } = this.lateLook;
-    return nowMs - untilMs <= SIGNAL_PERIOD_MS ? nowMs - fromMs : 0;
+    this.check(nowMs);
+    const { fromMs, untilMs } = this.lateCheck;
+    return nowMs - untilMs <= SIGNAL_AGE_PERIOD_MS ? nowMs - fromMs : 0;
   }
 
   private isLate(nowMs: number): boolean {
-    return nowMs - this.lastLookMs > LOOK_INTERVAL_MS + USUAL_LATENESS_MS;
+    return nowMs - this.lastCheckMs > LOOK_INTERVAL_MS + MAX_NORMAL_DELAY_MS;
   }
 }
--- a/src/proxy/planned-stop.ts
+++ b/src/proxy/planned-stop.ts
@@ -32,7 +32,7 @@
   readonly stopQuietMs: number;
   readonly stopCloseMs: number;
   /** Lateness of the process by which a stop ends earlier, at most; none when absent. */
-  readonly maxLatenessMs?: number;
+  readonly maxEventLoopLagMs?: number;
   /**
    * Time for which callers may still read what was answered before their connections are cut, where a stop has
    * that much left; none when absent.
@@ -58,10 +58,10 @@
       readonly idle?: number;
       readonly lastArrivalAtMs: number;
       /** How late the process has lately been, in milliseconds; 0 when absent. */
-      readonly latenessMs?: number;
+      readonly eventLoopLagMs?: number;
     }
   /** The listeners are shut; so many connections that waited were taken before. */
-  | { readonly type: 'listeners-shut'; readonly takenCount: number }
+  | { readonly type: 'listeners-shut'; readonly acceptedCount: number }
   | { readonly type: 'peers-closed' }
   /** Everything ends at once. */
   | { readonly type: 'abort' };
@@ -69,7 +69,7 @@
 /** Something to be done. */
 export type StopEffect = 'shut-listeners' | 'give-up' | 'close-idle' | 'close-peers' | 'close-all';
 
-type Look = Extract<StopEvent, { type: 'look' }>;
+type DrainStatus = Extract<StopEvent, { type: 'look' }>;
 
 /** The planned stop of one node. */
 export class PlannedStop {
@@ -81,7 +81,7 @@
   private areListenersShut = false;
   private arePeersClosed = false;
   /** When connections that waited were taken last: their requests are still to come. */
-  private tookWaitingAtMs = -Infinity;
+  private acceptedPendingAtMs = -Infinity;
 
   constructor(private readonly limits: PlannedStopLimits) {}
 
@@ -97,8 +97,8 @@
 
   /** Whether a request that arrives is refused: its answer would come too late. */
   refusesNewWork(nowMs: number): boolean {
-    const isTaking = this.current === 'serving' || this.current === 'taking';
-    return !isTaking || nowMs >= this.times.refusesFromMs;
+    const isAccepting = this.current === 'serving' || this.current === 'taking';
+    return !isAccepting || nowMs >= this.times.refusesFromMs;
   }
 
   /** Whether a request that only starts now is given up at once. */
@@ -123,10 +123,10 @@
         this.begin(nowMs, event.signalAgeMs ?? 0);
         return [];
       case 'look':
-        return this.look(event, nowMs);
+        return this.advance(event, nowMs);
       case 'listeners-shut':
         this.areListenersShut = true;
-        this.tookWaitingAtMs = event.takenCount > 0 ? nowMs : -Infinity;
+        this.acceptedPendingAtMs = event.acceptedCount > 0 ? nowMs : -Infinity;
         return [];
       case 'peers-closed':
         this.arePeersClosed = true;
@@ -140,7 +140,7 @@
     if (this.current === 'serving') {
       this.current = 'taking';
       this.startedAtMs = nowMs;
-      this.setDelays({ signalAgeMs, latenessMs: 0 });
+      this.setDelays({ signalAgeMs, eventLoopLagMs: 0 });
     }
   }
 
@@ -150,11 +150,11 @@
   }
 
   /** A process that was late may be so again: what is left of the stop goes by the longest delay. */
-  private noteLateness(latenessMs: number): void {
-    const { maxLatenessMs = 0 } = this.limits;
-    const countedMs = Math.min(latenessMs, maxLatenessMs);
-    if (countedMs > this.delays.latenessMs) {
-      this.setDelays({ ...this.delays, latenessMs: countedMs });
+  private applyEventLoopLag(eventLoopLagMs: number): void {
+    const { maxEventLoopLagMs = 0 } = this.limits;
+    const countedMs = Math.min(eventLoopLagMs, maxEventLoopLagMs);
+    if (countedMs > this.delays.eventLoopLagMs) {
+      this.setDelays({ ...this.delays, eventLoopLagMs: countedMs });
     }
   }
 
@@ -177,58 +177,58 @@
   }
 
   /** Passes one bound at most: answers that were just given go out before the next. */
-  private look(seen: Look, nowMs: number): StopEffect[] {
-    this.noteLateness(seen.latenessMs ?? 0);
+  private advance(status: DrainStatus, nowMs: number): StopEffect[] {
+    this.applyEventLoopLag(status.eventLoopLagMs ?? 0);
     const isDue = nowMs >= this.nextBoundMs();
     switch (this.current) {
       case 'taking':
-        return isDue || this.areCallersGone(seen, nowMs) ? this.shut() : [];
+        return isDue || this.hasTrafficEnded(status, nowMs) ? this.shutListeners() : [];
       case 'refusing':
-        return this.wait(seen, nowMs, isDue);
+        return this.drainOrGiveUp(status, nowMs, isDue);
       case 'answering':
-        return isDue || this.isDrained(seen, nowMs) ? this.beginClosing(nowMs) : [];
+        return isDue || this.isDrained(status, nowMs) ? this.beginClosing(nowMs) : [];
       case 'closing':
-        return isDue || this.isEmpty(seen) ? this.close() : this.closeRest(seen);
+        return isDue || this.isEmpty(status) ? this.close() : this.closeRemainingIdle(status);
       case 'serving':
       case 'closed':
         return [];
     }
   }
 
-  private shut(): StopEffect[] {
+  private shutListeners(): StopEffect[] {
     return this.enter('refusing', ['shut-listeners']);
   }
 
-  private wait(seen: Look, nowMs: number, isDue: boolean): StopEffect[] {
-    if (this.isDrained(seen, nowMs)) {
+  private drainOrGiveUp(status: DrainStatus, nowMs: number, isDue: boolean): StopEffect[] {
+    if (this.isDrained(status, nowMs)) {
       return this.beginClosing(nowMs);
     }
     return isDue ? this.enter('answering', ['give-up']) : [];
   }
 
   /** Callers have had time to notice the stop, and none comes any more. */
-  private areCallersGone(seen: Look, nowMs: number): boolean {
-    return nowMs - this.startedAtMs >= this.limits.stopNoticeMs && this.isQuiet(seen, nowMs);
+  private hasTrafficEnded(status: DrainStatus, nowMs: number): boolean {
+    return nowMs - this.startedAtMs >= this.limits.stopNoticeMs && this.isQuiet(status, nowMs);
   }
 
   /** Nothing is in flight and nothing has arrived for a while. */
-  private isQuiet({ inFlight, lastArrivalAtMs }: Look, nowMs: number): boolean {
-    const lastAtMs = Math.max(this.startedAtMs, lastArrivalAtMs, this.tookWaitingAtMs);
+  private isQuiet({ inFlight, lastArrivalAtMs }: DrainStatus, nowMs: number): boolean {
+    const lastAtMs = Math.max(this.startedAtMs, lastArrivalAtMs, this.acceptedPendingAtMs);
     return inFlight === 0 && nowMs - lastAtMs >= this.limits.stopQuietMs;
   }
 
   /** Quiet, and no connection waits to be taken. */
-  private isDrained(seen: Look, nowMs: number): boolean {
-    return this.areListenersShut && this.isQuiet(seen, nowMs);
+  private isDrained(status: DrainStatus, nowMs: number): boolean {
+    return this.areListenersShut && this.isQuiet(status, nowMs);
   }
 
   /** The last refusals have gone out, and the connections of peers and callers are closed. */
-  private isEmpty({ inFlight, lingering = 0, idle = 0 }: Look): boolean {
+  private isEmpty({ inFlight, lingering = 0, idle = 0 }: DrainStatus): boolean {
     return this.arePeersClosed && inFlight === 0 && lingering === 0 && idle === 0;
   }
 
   /** Connections that a pause of the process kept open, or that have become idle since. */
-  private closeRest({ idle = 0 }: Look): StopEffect[] {
+  private closeRemainingIdle({ idle = 0 }: DrainStatus): StopEffect[] {
     return idle > 0 ? ['close-idle'] : [];
   }
 
--- a/src/proxy/proxy-limits.ts
+++ b/src/proxy/proxy-limits.ts
@@ -58,7 +58,7 @@
   /** Time without a new request after which a planned stop is over, in milliseconds. */
   readonly stopQuietMs: number;
   /** Lateness of the process by which a planned stop ends earlier, at most, in milliseconds; none when absent. */
-  readonly maxLatenessMs?: number;
+  readonly maxEventLoopLagMs?: number;
 }
 
 /** Bounds where settings name none. */
--- a/src/proxy/reading-pause.ts
+++ b/src/proxy/reading-pause.ts
@@ -8,7 +8,7 @@
 export class ReadingPause {
   private pausedAtMs: number | undefined;
   /** Length of the pause that has just ended; 0 once all that came in it has been read. */
-  private endedMs = 0;
+  private lastPauseMs = 0;
 
   constructor(
     socket: Socket,
@@ -23,16 +23,16 @@
   /** Longest time for which a request may have waited that is read now, in milliseconds. */
   get unreadMs(): number {
     // Node takes what it had read already before it tells of the end of the pause.
-    return this.pausedAtMs === undefined ? this.endedMs : this.nowMs() - this.pausedAtMs;
+    return this.pausedAtMs === undefined ? this.lastPauseMs : this.nowMs() - this.pausedAtMs;
   }
 
   private end(): void {
     if (this.pausedAtMs === undefined) {
       return;
     }
-    this.endedMs = this.nowMs() - this.pausedAtMs;
+    this.lastPauseMs = this.nowMs() - this.pausedAtMs;
     this.pausedAtMs = undefined;
     // What waited is read in the next whole turn of the event loop.
-    setImmediate(() => setImmediate(() => (this.endedMs = 0)));
+    setImmediate(() => setImmediate(() => (this.lastPauseMs = 0)));
   }
 }
--- a/src/proxy/refusal-lead.ts
+++ b/src/proxy/refusal-lead.ts
@@ -7,6 +7,6 @@
 const REFUSAL_LEAD_SHARE = 0.15;
 
 /** How long before its deadline a request that has `leftMs` is refused, in milliseconds. */
-export function refusalLeadMs(leftMs: number): number {
-  return Math.min(REFUSAL_LEAD_MS, leftMs * REFUSAL_LEAD_SHARE);
+export function refusalLeadMs(remainingMs: number): number {
+  return Math.min(REFUSAL_LEAD_MS, remainingMs * REFUSAL_LEAD_SHARE);
 }
--- a/src/proxy/request-proxy.ts
+++ b/src/proxy/request-proxy.ts
@@ -17,7 +17,7 @@
 import { NATIVE_ENDPOINT_PROTOCOL, type EndpointProtocol } from './endpoint-protocol.js';
 import { reportEndpointStates, type EndpointStateReport } from './endpoint-states.js';
 import { EndpointGateway } from './endpoint-gateway.js';
-import { LoopLateness } from './loop-lateness.js';
+import { EventLoopLag } from './event-loop-lag.js';
 import { PauseDetector } from './pause-detector.js';
 import { DEFAULT_PROXY_LIMITS, type ProxyLimits } from './proxy-limits.js';
 import { RelayClient } from './relay/relay-client.js';
@@ -61,7 +61,7 @@
   private readonly endpointClient: EndpointClient;
   private readonly relayClient: RelayClient;
   private readonly pauses: PauseDetector;
-  private readonly lateness = new LoopLateness();
+  private readonly lateness = new EventLoopLag();
   private readonly poll = new SocketPoll();
   private readonly endLooks: EndAction;
   private readonly meter = new CallMeter(() => MACHINE_TIME.now());
@@ -205,7 +205,7 @@
     await drainServers([this.callerServer, this.relayServer], {
       stop: this.plannedStop,
       signalAgeMs,
-      latenessMs: () => this.lateness.recentMs(MACHINE_TIME.now()),
+      eventLoopLagMs: () => this.lateness.recentMaxMs(MACHINE_TIME.now()),
       lastArrivalAtMs: () => this.meter.lastArrivalAtMs,
       inFlight: () => this.meter.inFlight + this.relay.unstartedCount,
       lingering: () => this.callerConnections.lingeringCount,
@@ -329,7 +329,7 @@
       verifyToken: (token) => this.verifyToken(token),
       snapshot: () => this.options.snapshots.current(),
       endpoints: this.gateway,
-      hasJustWoken: () => this.pauses.hasJustWoken(MACHINE_TIME.now()),
+      hasJustWoken: () => this.pauses.hasJustResumed(MACHINE_TIME.now()),
       afterRead: (action) => this.afterRead(action),
       isStopping: () => this.plannedStop.isStopping,
       refusesNewWork: () => this.plannedStop.refusesNewWork(MACHINE_TIME.now()),
@@ -347,7 +347,7 @@
   }
 
   private takeLoopDelay(delayMs: number): void {
-    this.lateness.add(delayMs, MACHINE_TIME.now());
+    this.lateness.record(delayMs, MACHINE_TIME.now());
     this.options.onLoopDelayMs?.(delayMs);
     if (delayMs >= LOGGED_LOOP_DELAY_MS) {
       this.options.logStateChange('event-loop-late', `${Math.round(delayMs)} ms`);
--- a/src/proxy/request-runner.ts
+++ b/src/proxy/request-runner.ts
@@ -10,7 +10,7 @@
 import type { ConnectionEndReason } from './connection-end.js';
 import { EndpointChoice } from './endpoint-choice.js';
 import { expiryFailure } from './expiry-failure.js';
-import { keepAnswer } from './kept-answer.js';
+import { bufferAnswer } from './buffered-answer.js';
 import { RequestAttempt } from './request-attempt.js';
 import type { RequestBody } from './request-body.js';
 import {
@@ -28,7 +28,7 @@
 import { RequestStanding } from './request-standing.js';
 import type { CancelTimer } from './scheduler.js';
 import { stopFailure } from './stop-failure.js';
-import { nextOf, silenceError } from './suspicion.js';
+import { suspicionOutcomeOf, unresponsiveNodeError } from './suspicion.js';
 import type { RequestContext } from './request-context.js';
 import { requestDecision, type DecisionDetails } from './request-decision.js';
 
@@ -204,7 +204,7 @@
     const isUnsent = suspect.isUnsent();
     const isHedged = this.body?.isHeld === true && this.standing?.trial === undefined;
     const canReplay = this.canReplay() && (isUnsent || isHedged);
-    const failure = silenceError(isUnsent);
+    const failure = unresponsiveNodeError(isUnsent);
     const nowMs = this.context.services.scheduler.now();
     const effects = this.lifecycle.handle(
       { type: 'suspected', attempt, failure, canReplay },
@@ -220,7 +220,7 @@
     effects: readonly RequestEffect[],
   ): void {
     const { sign } = suspect;
-    const next = nextOf(effects);
+    const next = suspicionOutcomeOf(effects);
     this.record('attempt-suspected', failure, failure.verdict, { attempt: suspect, sign, next });
   }
 
@@ -248,7 +248,7 @@
   private keepFault(number: number): void {
     const answer = this.attempts.get(number)?.answer;
     if (answer !== undefined) {
-      keepAnswer(answer, this.context.services.limits.maxHeldAnswerBytes, (kept) => {
+      bufferAnswer(answer, this.context.services.limits.maxHeldAnswerBytes, (kept) => {
         this.keptFault = kept;
       });
     }
@@ -331,7 +331,7 @@
 
   /** One that was waited for although nothing was heard of it. */
   private recordCancelled(attempt: RequestAttempt): void {
-    const error = silenceError(attempt.isUnsent());
+    const error = unresponsiveNodeError(attempt.isUnsent());
     this.record('attempt-cancelled', error, error.verdict, { attempt, sign: attempt.sign });
   }
 
--- a/src/proxy/response-sink.ts
+++ b/src/proxy/response-sink.ts
@@ -10,7 +10,7 @@
  * Bytes of answers that wait for their turn on a connection before the sender of a body is asked to wait, and before
  * the next requests of the connection do.
  */
-export const MAX_WAITING_BYTES = 16 * 1024;
+export const MAX_BUFFERED_BYTES = 16 * 1024;
 
 interface ResponseHead {
   readonly status: number;
@@ -19,9 +19,9 @@
 
 /** Passes everything to a response of Node's once its turn has come. */
 export class ResponseSink implements AnswerSink {
-  private waitingHead: ResponseHead | undefined;
-  private readonly waitingChunks: Buffer[] = [];
-  private isWaitingEnded = false;
+  private bufferedHead: ResponseHead | undefined;
+  private readonly bufferedChunks: Buffer[] = [];
+  private hasBufferedEnd = false;
   private readonly drainListeners = new Set<() => void>();
 
   /** `beforeHead` is called right before the head goes out. */
@@ -30,48 +30,48 @@
     private readonly beforeHead: () => void,
   ) {
     if (response.socket === null) {
-      response.once('socket', () => this.takeTurn());
+      response.once('socket', () => this.flushBuffered());
     }
   }
 
   /** Whether the answer has begun, be it that it still waits for its turn. */
   get headersSent(): boolean {
-    return this.waitingHead !== undefined || this.response.headersSent;
+    return this.bufferedHead !== undefined || this.response.headersSent;
   }
 
   /** Bytes of the body that wait for their turn. */
-  get waitingBytes(): number {
-    return this.waitingChunks.reduce((bytes, { length }) => bytes + length, 0);
+  get bufferedBytes(): number {
+    return this.bufferedChunks.reduce((bytes, { length }) => bytes + length, 0);
   }
 
   writeHead(status: number, headers: string[], contentLength: number | undefined): void {
     if (contentLength !== undefined) {
       headers.push('Content-Length', String(contentLength));
     }
-    if (this.isTurn) {
+    if (this.hasSocket) {
       this.sendHead({ status, headers });
     } else {
-      this.waitingHead = { status, headers };
+      this.bufferedHead = { status, headers };
     }
   }
 
   write(chunk: Buffer): boolean {
-    if (this.isTurn) {
+    if (this.hasSocket) {
       return this.response.write(chunk);
     }
-    this.waitingChunks.push(chunk);
-    return this.waitingBytes < MAX_WAITING_BYTES;
+    this.bufferedChunks.push(chunk);
+    return this.bufferedBytes < MAX_BUFFERED_BYTES;
   }
 
   end(chunk?: Buffer): void {
-    if (this.isTurn) {
+    if (this.hasSocket) {
       this.response.end(chunk);
       return;
     }
     if (chunk !== undefined) {
-      this.waitingChunks.push(chunk);
+      this.bufferedChunks.push(chunk);
     }
-    this.isWaitingEnded = true;
+    this.hasBufferedEnd = true;
   }
 
   on(event: 'drain', listener: () => void): void {
@@ -84,7 +84,7 @@
     this.response.off(event, listener);
   }
 
-  private get isTurn(): boolean {
+  private get hasSocket(): boolean {
     return this.response.socket !== null;
   }
 
@@ -93,13 +93,13 @@
     this.response.writeHead(status, headers);
   }
 
-  private takeTurn(): void {
-    if (this.waitingHead === undefined) {
+  private flushBuffered(): void {
+    if (this.bufferedHead === undefined) {
       return;
     }
-    const chunks = this.waitingChunks.splice(0);
-    this.sendHead(this.waitingHead);
-    if (this.isWaitingEnded) {
+    const chunks = this.bufferedChunks.splice(0);
+    this.sendHead(this.bufferedHead);
+    if (this.hasBufferedEnd) {
       this.response.end(chunks.length === 1 ? chunks[0] : Buffer.concat(chunks));
       return;
     }
--- a/src/proxy/route-credential.ts
+++ b/src/proxy/route-credential.ts
@@ -13,12 +13,12 @@
   if (credential === undefined || secret === undefined) {
     return headers;
   }
-  const others: string[] = [];
+  const otherHeaders: string[] = [];
   for (let index = 0; index + 1 < headers.length; index += 2) {
     const name = headers[index] ?? '';
     if (name.toLowerCase() !== credential.header) {
-      others.push(name, headers[index + 1] ?? '');
+      otherHeaders.push(name, headers[index + 1] ?? '');
     }
   }
-  return [...others, credential.header, secret.spec.value];
+  return [...otherHeaders, credential.header, secret.spec.value];
 }
--- a/src/proxy/server-drain.ts
+++ b/src/proxy/server-drain.ts
@@ -9,11 +9,11 @@
 import { SocketPoll } from './socket-poll.js';
 
 /** Time between two looks at what is in flight, in milliseconds. */
-const POLL_MS = 20;
+const POLL_INTERVAL_MS = 20;
 /** Reads of a listener before it is shut, at most, while connections wait there. */
 const MAX_ACCEPT_READS = 500;
 /** Looks in a row that are given up since the process stood still after its read. */
-const MAX_STALE_LOOKS = 10;
+const MAX_STALE_POLLS = 10;
 
 /** What a planned stop needs to know of its servers, and does beside them. */
 export interface DrainOptions {
@@ -21,7 +21,7 @@
   /** Longest time for which the signal may have waited for the process, in milliseconds; 0 when absent. */
   readonly signalAgeMs?: number;
   /** How late the process has lately been, in milliseconds; never when absent. */
-  readonly latenessMs?: () => number;
+  readonly eventLoopLagMs?: () => number;
   readonly lastArrivalAtMs: () => number;
   readonly inFlight: () => number;
   /** Connections that are closed here and not by the other side yet; none when absent. */
@@ -52,7 +52,7 @@
 function* runStop(
   servers: readonly http.Server[],
   options: DrainOptions,
-  done: () => void,
+  onStopped: () => void,
 ): Generator<unknown, void> {
   const { stop, clock } = options;
   const poll = new SocketPoll(clock);
@@ -61,32 +61,32 @@
       execute(effect, { servers, options, poll, handle });
     }
   };
-  let staleLooks = 0;
+  let stalePolls = 0;
   handle({ type: 'stop', signalAgeMs: options.signalAgeMs ?? 0 });
   while (stop.state !== 'closed') {
-    yield csp.timeout(Math.min(POLL_MS, Math.ceil(stop.msToNextBound(clock()))));
-    yield renewed(poll);
-    const look = lookAt(options);
-    if (poll.isCurrent || staleLooks >= MAX_STALE_LOOKS) {
-      staleLooks = 0;
-      handle(look);
+    yield csp.timeout(Math.min(POLL_INTERVAL_MS, Math.ceil(stop.msToNextBound(clock()))));
+    yield renewalOf(poll);
+    const status = readStatus(options);
+    if (poll.isCurrent || stalePolls >= MAX_STALE_POLLS) {
+      stalePolls = 0;
+      handle(status);
     } else {
-      staleLooks += 1;
+      stalePolls += 1;
     }
   }
-  done();
+  onStopped();
 }
 
 /** What a planned stop goes by, after the event loop has read what waits in the system. */
-function lookAt(options: DrainOptions): StopEvent {
-  const { inFlight, lingering, idle, lastArrivalAtMs, latenessMs } = options;
+function readStatus(options: DrainOptions): StopEvent {
+  const { inFlight, lingering, idle, lastArrivalAtMs, eventLoopLagMs } = options;
   return {
     type: 'look',
     inFlight: inFlight(),
     lingering: lingering?.() ?? 0,
     idle: idle?.() ?? 0,
     lastArrivalAtMs: lastArrivalAtMs(),
-    latenessMs: latenessMs?.() ?? 0,
+    eventLoopLagMs: eventLoopLagMs?.() ?? 0,
   };
 }
 
@@ -101,8 +101,8 @@
 function execute(effect: StopEffect, { servers, options, poll, handle }: StopExecution): void {
   switch (effect) {
     case 'shut-listeners':
-      void shutListeners(servers, poll).then((takenCount) =>
-        handle({ type: 'listeners-shut', takenCount }),
+      void shutListeners(servers, poll).then((acceptedCount) =>
+        handle({ type: 'listeners-shut', acceptedCount }),
       );
       return;
     case 'give-up':
@@ -122,7 +122,7 @@
 }
 
 /** A channel that gets a value once the event loop has read all sockets. */
-function renewed(poll: SocketPoll): unknown {
+function renewalOf(poll: SocketPoll): unknown {
   const polled = csp.chan<true>(csp.buffers.fixed(1));
   void poll.renew().then(() => csp.offer(polled, true));
   return polled;
@@ -140,33 +140,33 @@
 
 /** Resolves with the connections that were taken before. */
 async function shutListeners(servers: readonly http.Server[], poll: SocketPoll): Promise<number> {
-  let takenCount = 0;
+  let acceptedCount = 0;
   for (const server of servers) {
     if (server.listening) {
-      takenCount += await takeWaitingConnections(server, poll);
+      acceptedCount += await acceptPendingConnections(server, poll);
       shutListener(server);
     }
   }
-  return takenCount;
+  return acceptedCount;
 }
 
 /**
  * Takes the connections that the system has set up and that wait to be accepted: it would reset them
  * with the listener. At least one is accepted in each whole turn of the event loop while any waits.
  */
-async function takeWaitingConnections(server: http.Server, poll: SocketPoll): Promise<number> {
+async function acceptPendingConnections(server: http.Server, poll: SocketPoll): Promise<number> {
   let accepted = 0;
   const count = (): void => {
     accepted += 1;
   };
   server.on('connection', count);
-  let acceptedBefore: number;
+  let previouslyAccepted: number;
   let reads = 0;
   do {
-    acceptedBefore = accepted;
+    previouslyAccepted = accepted;
     await poll.renew();
     reads += 1;
-  } while ((accepted > acceptedBefore || !poll.isCurrent) && reads < MAX_ACCEPT_READS);
+  } while ((accepted > previouslyAccepted || !poll.isCurrent) && reads < MAX_ACCEPT_READS);
   server.off('connection', count);
   return accepted;
 }
--- a/src/proxy/socket-poll.ts
+++ b/src/proxy/socket-poll.ts
@@ -7,7 +7,7 @@
 /** Age up to which a read is current, in milliseconds: a quarter of the time in which a request counts as unread. */
 const MAX_AGE_MS = 50;
 /** Turns of the event loop in which a current read is looked for, at most. */
-const MAX_TURNS = 40;
+const MAX_ITERATIONS = 40;
 
 /** The latest read of all sockets by the event loop. */
 export class SocketPoll {
@@ -23,11 +23,11 @@
 
   /** Resolves once the event loop has read all sockets, in a turn that was short where there is one. */
   async renew(): Promise<void> {
-    await endOfTurn();
-    for (let turns = 0; turns < MAX_TURNS; turns += 1) {
-      const beganAtMs = this.nowMs();
-      await endOfTurn();
-      this.polledAtMs = beganAtMs;
+    await afterPollPhase();
+    for (let iterations = 0; iterations < MAX_ITERATIONS; iterations += 1) {
+      const startedAtMs = this.nowMs();
+      await afterPollPhase();
+      this.polledAtMs = startedAtMs;
       if (this.isCurrent) {
         return;
       }
@@ -36,6 +36,6 @@
 }
 
 /** Resolves after the event loop has polled; after a second call, it has polled in a whole turn. */
-function endOfTurn(): Promise<void> {
+function afterPollPhase(): Promise<void> {
   return new Promise(setImmediate);
 }
--- a/src/proxy/stop-times.ts
+++ b/src/proxy/stop-times.ts
@@ -14,7 +14,7 @@
    * Time for which requests in flight are waited for at least, wherever the rest of the stop can be made shorter for
    * it; `stopTimeoutMs` when absent.
    */
-  readonly stopLeastTimeoutMs?: number;
+  readonly stopMinTimeoutMs?: number;
 }
 
 /** What makes a process late. Times are in milliseconds. */
@@ -22,7 +22,7 @@
   /** Longest time for which the signal may have waited for the process. */
   readonly signalAgeMs: number;
   /** How late the process has lately been. */
-  readonly latenessMs: number;
+  readonly eventLoopLagMs: number;
 }
 
 /** When the phases of a planned stop begin. */
@@ -45,7 +45,7 @@
   endsByMs: Infinity,
 };
 /** A process that runs at once. */
-export const NO_DELAYS: StopDelays = { signalAgeMs: 0, latenessMs: 0 };
+export const NO_DELAYS: StopDelays = { signalAgeMs: 0, eventLoopLagMs: 0 };
 
 /**
  * Deadlines lie this much after the moment at which requests are given up, in milliseconds: what is
@@ -54,7 +54,7 @@
  */
 const DEADLINE_LAG_MS = 20;
 /** Part of the time for answers that is kept where requests are waited for at its cost. */
-const LEAST_ANSWER_SHARE = 0.5;
+const MIN_ANSWER_SHARE = 0.5;
 
 /**
  * The moments of a stop that is heard of now. The signal may be as old as `signalAgeMs`, which bounds the end, or new,
@@ -63,20 +63,24 @@
 export function stopTimes(
   nowMs: number,
   limits: StopLimits,
-  { signalAgeMs, latenessMs }: StopDelays = NO_DELAYS,
+  { signalAgeMs, eventLoopLagMs }: StopDelays = NO_DELAYS,
 ): StopTimes {
   const { stopTimeoutMs, stopAnswerMs, stopCloseMs = 0 } = limits;
-  const { stopLeastTimeoutMs = stopTimeoutMs } = limits;
-  const firstAtMs = nowMs - signalAgeMs;
+  const { stopMinTimeoutMs = stopTimeoutMs } = limits;
+  const earliestSignalAtMs = nowMs - signalAgeMs;
   const endsByMs = Math.max(
     nowMs,
-    firstAtMs + stopTimeoutMs + stopAnswerMs + stopCloseMs - latenessMs,
+    earliestSignalAtMs + stopTimeoutMs + stopAnswerMs + stopCloseMs - eventLoopLagMs,
+  );
+  const plannedGiveUpAtMs = endsByMs - stopCloseMs - stopAnswerMs;
+  const latestGiveUpAtMs = endsByMs - stopAnswerMs * MIN_ANSWER_SHARE;
+  const givesUpAtMs = Math.max(
+    nowMs,
+    plannedGiveUpAtMs,
+    Math.min(nowMs + stopMinTimeoutMs, latestGiveUpAtMs),
   );
-  const plannedMs = endsByMs - stopCloseMs - stopAnswerMs;
-  const latestMs = endsByMs - stopAnswerMs * LEAST_ANSWER_SHARE;
-  const givesUpAtMs = Math.max(nowMs, plannedMs, Math.min(nowMs + stopLeastTimeoutMs, latestMs));
   return {
-    refusesFromMs: Math.max(nowMs, Math.min(firstAtMs + limits.stopAcceptMs, givesUpAtMs)),
+    refusesFromMs: Math.max(nowMs, Math.min(earliestSignalAtMs + limits.stopAcceptMs, givesUpAtMs)),
     givesUpAtMs,
     closesAtMs: Math.min(givesUpAtMs + stopAnswerMs, endsByMs),
     endsByMs,
--- a/src/proxy/suspicion.ts
+++ b/src/proxy/suspicion.ts
@@ -4,7 +4,7 @@
 import type { SuspicionOutcome } from './request-log.js';
 
 /** What follows on the suspicion of an attempt. */
-export function nextOf([first]: readonly RequestEffect[]): SuspicionOutcome {
+export function suspicionOutcomeOf([first]: readonly RequestEffect[]): SuspicionOutcome {
   if (first === undefined) {
     return 'wait';
   }
@@ -12,7 +12,7 @@
 }
 
 /** `isUnsent` says that the attempt has provably not reached its endpoint. */
-export function silenceError(isUnsent: boolean): RequestError {
+export function unresponsiveNodeError(isUnsent: boolean): RequestError {
   const message = 'nothing is heard of the node of the endpoint';
   return isUnsent ? new UnreachableError(message) : new ConnectionLostError(message);
 }
--- a/src/runtime/store-node-limits.ts
+++ b/src/runtime/store-node-limits.ts
@@ -54,8 +54,8 @@
   return {
     ...STORE_NODE_LIMITS,
     stopTimeoutMs: Math.max(0, drainTimeoutMs - STOP_RESERVE_MS),
-    stopLeastTimeoutMs: drainTimeoutMs * STOP_WORK_SHARE,
-    maxLatenessMs: STOP_MAX_LATENESS_MS,
+    stopMinTimeoutMs: drainTimeoutMs * STOP_WORK_SHARE,
+    maxEventLoopLagMs: STOP_MAX_LATENESS_MS,
     fleetSavedRetries: retry.fleetBurst,
   };
 }
--- a/test/proxy/loss-judge.test.ts
+++ b/test/proxy/loss-judge.test.ts
@@ -1,8 +1,11 @@
 /** The end of a process against everything that looks like it. */
 import { expect } from 'chai';
-import { LossJudge, type EndpointWork } from '../../src/proxy/loss-judge.js';
+import {
+  ProcessExitDetector,
+  type EndpointRequest,
+} from '../../src/proxy/process-exit-detector.js';
 
-class Work implements EndpointWork {
+class Work implements EndpointRequest {
   isOpen = true;
 
   constructor(readonly name: string) {}
@@ -21,8 +24,8 @@
   /** What a new connection tells. */
   isListening: boolean | undefined = false;
   private settle: () => void = () => undefined;
-  readonly judge = new LossJudge<Work>({
-    atWork: () => [...this.work].reverse(),
+  readonly judge = new ProcessExitDetector<Work>({
+    inProgress: () => [...this.work].reverse(),
     probeListening: (report) => {
       this.probes += 1;
       report(this.isListening);
@@ -31,14 +34,14 @@
       this.settle = action;
       return () => undefined;
     },
-    onEnd: (work) => this.ends.push(work.map(({ name }) => name)),
+    onExit: (work) => this.ends.push(work.map(({ name }) => name)),
   });
 
   lose(...lost: readonly number[]): void {
     for (const idx of lost) {
       const work = this.work[idx] ?? expect.fail('no such work');
       work.isOpen = false;
-      this.judge.lost(work, (hasEnded) => this.verdicts.push(hasEnded));
+      this.judge.connectionLost(work, (hasEnded) => this.verdicts.push(hasEnded));
     }
   }
 
--- a/test/proxy/server-drain.test.ts
+++ b/test/proxy/server-drain.test.ts
@@ -38,7 +38,7 @@
       const effects = [1, 2, 3, 4, 5].flatMap(() => {
         const due = stop.handle(look, elapsedMs);
         if (due.includes('shut-listeners')) {
-          stop.handle({ type: 'listeners-shut', takenCount: 0 }, elapsedMs);
+          stop.handle({ type: 'listeners-shut', acceptedCount: 0 }, elapsedMs);
         }
         if (due.includes('close-peers')) {
           stop.handle({ type: 'peers-closed' }, elapsedMs);
--- a/test/proxy/signal-age.test.ts
+++ b/test/proxy/signal-age.test.ts
@@ -1,7 +1,7 @@
 /** Guards against a planned stop that counts from when its handler ran instead of from its signal. */
 import { expect } from 'chai';
 import { LOOK_INTERVAL_MS } from '../../src/clock/shared-interval.js';
-import { LoopLateness } from '../../src/proxy/loop-lateness.js';
+import { EventLoopLag } from '../../src/proxy/event-loop-lag.js';
 import { PauseDetector } from '../../src/proxy/pause-detector.js';
 
 describe('the age of a signal', () => {
@@ -29,13 +29,13 @@
 
 describe('the lateness of a process', () => {
   it('is its longest delay of the last seconds', () => {
-    const lateness = new LoopLateness();
-    lateness.add(120, 10_000);
-    lateness.add(5, 11_000);
-    expect(lateness.recentMs(12_900)).to.equal(120);
-    lateness.add(40, 13_500);
-    expect(lateness.recentMs(15_900)).to.equal(120);
-    expect(lateness.recentMs(16_600)).to.equal(40);
-    expect(lateness.recentMs(30_000)).to.equal(0);
+    const lateness = new EventLoopLag();
+    lateness.record(120, 10_000);
+    lateness.record(5, 11_000);
+    expect(lateness.recentMaxMs(12_900)).to.equal(120);
+    lateness.record(40, 13_500);
+    expect(lateness.recentMaxMs(15_900)).to.equal(120);
+    expect(lateness.recentMaxMs(16_600)).to.equal(40);
+    expect(lateness.recentMaxMs(30_000)).to.equal(0);
   });
 });
--- a/test/proxy/stop-times.test.ts
+++ b/test/proxy/stop-times.test.ts
@@ -33,23 +33,23 @@
   const LIMITS = {
     stopAcceptMs: 2_800,
     stopTimeoutMs: 5_250,
-    stopLeastTimeoutMs: 5_000,
+    stopMinTimeoutMs: 5_000,
     stopAnswerMs: 250,
     stopCloseMs: 200,
   };
   const LONGEST_MS = 5_700;
   const delays = fc.record({
     signalAgeMs: fc.integer({ min: 0, max: 1_500 }),
-    latenessMs: fc.integer({ min: 0, max: 250 }),
+    eventLoopLagMs: fc.integer({ min: 0, max: 250 }),
   });
 
   it('end in time after the earliest signal, and earlier by the lateness', () => {
-    const property = fc.property(delays, ({ signalAgeMs, latenessMs }) => {
+    const property = fc.property(delays, ({ signalAgeMs, eventLoopLagMs }) => {
       const { endsByMs, closesAtMs, givesUpAtMs, refusesFromMs } = stopTimes(0, LIMITS, {
         signalAgeMs,
-        latenessMs,
+        eventLoopLagMs,
       });
-      expect(endsByMs + signalAgeMs).to.be.at.most(LONGEST_MS - latenessMs);
+      expect(endsByMs + signalAgeMs).to.be.at.most(LONGEST_MS - eventLoopLagMs);
       expect(closesAtMs).to.be.within(givesUpAtMs, endsByMs);
       expect(refusesFromMs).to.be.within(0, givesUpAtMs);
     });
@@ -58,11 +58,11 @@
 
   it('give no work up in the first five sixths of the grace time, wherever the end still allows it', () => {
     const cases = [
-      { signalAgeMs: 0, latenessMs: 0, givesUpAtMs: 5_250 },
-      { signalAgeMs: 0, latenessMs: 250, givesUpAtMs: 5_000 },
-      { signalAgeMs: 300, latenessMs: 0, givesUpAtMs: 5_000 },
-      { signalAgeMs: 300, latenessMs: 250, givesUpAtMs: 5_000 },
-      { signalAgeMs: 1_000, latenessMs: 250, givesUpAtMs: 4_325 },
+      { signalAgeMs: 0, eventLoopLagMs: 0, givesUpAtMs: 5_250 },
+      { signalAgeMs: 0, eventLoopLagMs: 250, givesUpAtMs: 5_000 },
+      { signalAgeMs: 300, eventLoopLagMs: 0, givesUpAtMs: 5_000 },
+      { signalAgeMs: 300, eventLoopLagMs: 250, givesUpAtMs: 5_000 },
+      { signalAgeMs: 1_000, eventLoopLagMs: 250, givesUpAtMs: 4_325 },
     ];
     for (const { givesUpAtMs, ...late } of cases) {
       expect(stopTimes(0, LIMITS, late).givesUpAtMs, JSON.stringify(late)).to.equal(givesUpAtMs);
--- a/test/proxy/stop/stop-world.ts
+++ b/test/proxy/stop/stop-world.ts
@@ -261,9 +261,9 @@
   private execute(effect: StopEffect): void {
     switch (effect) {
       case 'shut-listeners': {
-        const takenCount = this.accept();
+        const acceptedCount = this.accept();
         this.isListening = false;
-        this.after(1, () => this.handleStop({ type: 'listeners-shut', takenCount }));
+        this.after(1, () => this.handleStop({ type: 'listeners-shut', acceptedCount }));
         return;
       }
       case 'give-up':
