--- a/src/proxy/lingering-close.ts
+++ b/src/proxy/lingering-close.ts
@@ -1,17 +1,20 @@
 /**
- * Ends connections in a way that lets the other side read what was sent to it. A socket that is closed while
- * bytes of the other side are unread, or that gets some afterwards, answers with a reset: what the system still
- * had to send is thrown away, and a peer that is just writing gets an error before it has read what arrived.
- * So this side says that it sends no more, and reads and drops what comes until the other side has closed. Of the
- * answers of stopping nodes to callers that read late and go on sending, 18 in five soaks were lost, and none with it.
+ * Closes connections in a way that lets the other side read everything that was sent to it. If a
+ * socket is closed while received bytes are unread, or receives bytes afterwards, the operating
+ * system sends a reset: data that is still to be sent is discarded, and a peer that is writing gets
+ * an error before it has read what arrived. This side therefore half-closes the connection, then
+ * reads and discards incoming data until the other side has closed. Without this, 18 responses of
+ * stopping nodes to callers that read late and kept sending were lost in five soak runs; with it,
+ * none.
  */
 import type { Duplex } from 'node:stream';
 import type { SocketPoll } from './socket-poll.js';
 
 /**
- * Time for which the other side may go on reading, in milliseconds. The answer to a slow reader has been handed
- * to the system by then; TCP sends a lost packet again after 0.2 s, 0.6 s and 1.4 s, and the rest of an upload of
- * 360 KB takes 0.4 s at 7 Mbit/s.
+ * Time for which the other side may continue to read, in milliseconds. The response to a slow
+ * reader has been handed to the operating system when this time begins; TCP retransmits a lost
+ * packet after 0.2 s, 0.6 s and 1.4 s, and the remainder of a 360 KB upload takes 0.4 s at 7
+ * Mbit/s.
  */
 export const LINGER_MS = 2_000;
 
@@ -19,10 +22,10 @@
 export class LingeringCloses {
   private readonly timers = new Map<Duplex, NodeJS.Timeout>();
 
-  /** `poll` reads what has arrived before a connection is destroyed. */
+  /** `poll` reads the data that has arrived before a connection is destroyed. */
   constructor(private readonly poll: Pick<SocketPoll, 'renew'>) {}
 
-  /** Connections whose other side has not closed yet. */
+  /** Number of connections that the other side has not closed yet. */
   get count(): number {
     return this.timers.size;
   }
@@ -32,7 +35,10 @@
     return this.timers.has(socket);
   }
 
-  /** Sends nothing more; the socket is destroyed once the other side has closed, or after `lingerMs`. */
+  /**
+   * Half-closes the connection; destroys the socket once the other side has closed, or after
+   * `lingerMs`.
+   */
   begin(socket: Duplex, lingerMs: number): void {
     if (socket.destroyed || this.timers.has(socket)) {
       return;
@@ -48,7 +54,10 @@
     }
   }
 
-  /** Bytes that are unread as the socket is destroyed would reset the connection. */
+  /**
+   * Reads pending data first: bytes that are unread when the socket is destroyed would reset the
+   * connection.
+   */
   private async destroy(socket: Duplex): Promise<void> {
     await this.poll.renew();
     socket.destroy();
--- a/src/proxy/event-loop-lag.ts
+++ b/src/proxy/loop-lateness.ts
@@ -1,21 +1,21 @@
-/** How late the process has lately been: the longest delay of its regular looks. Pure. */
+/** Event loop lag: the longest recent delay of the periodic checks of the process. Pure. */
 
-/** For at least this long a delay counts, and for twice as long at most, in milliseconds. */
+/** Minimum time for which a delay counts, in milliseconds; the maximum is twice as long. */
 const WINDOW_MS = 3_000;
 
-/** Keeps the longest delay of the running period and of the one before. */
+/** Keeps the longest delay of the current window and of the previous one. */
 export class EventLoopLag {
   private windowStartedAtMs = -Infinity;
   private currentMaxMs = 0;
   private previousMaxMs = 0;
 
-  /** A look was late by `delayMs`. */
+  /** Records a check that was late by `delayMs`. */
   record(delayMs: number, nowMs: number): void {
     this.rotateWindow(nowMs);
     this.currentMaxMs = Math.max(this.currentMaxMs, delayMs);
   }
 
-  /** Longest delay of the last {@link WINDOW_MS} at least, in milliseconds. */
+  /** Longest delay in at least the last {@link WINDOW_MS}, in milliseconds. */
   recentMaxMs(nowMs: number): number {
     this.rotateWindow(nowMs);
     return Math.max(this.currentMaxMs, this.previousMaxMs);
--- a/src/proxy/pause-detector.ts
+++ b/src/proxy/pause-detector.ts
@@ -1,39 +1,43 @@
 /**
- * Tells whether the process has just woken from a pause. What it then reads from its sockets may be
- * old: its senders may have given up long ago, which shows only when their closing is read too. A signal that it
- * hears of then may be as old as the pause.
+ * Detects that the process has just resumed after a pause. Data that it then reads from its sockets
+ * may be stale: the senders may have given up long ago, which is known only once the end of their
+ * connections has been read too. A signal that is handled then may be as old as the pause.
  */
 import { LOOK_INTERVAL_MS } from '../clock/shared-interval.js';
 
-/** A gap between two looks that counts as a pause, in milliseconds. */
+/** Minimum gap between two checks that counts as a pause, in milliseconds. */
 const MIN_PAUSE_MS = 400;
-/** For this long after a pause, what arrives may be old, in milliseconds. */
+/** Time after a pause in which incoming data may be stale, in milliseconds. */
 const RESUME_PERIOD_MS = 50;
-/** A look that is late by more shows that the process did not run, in milliseconds. */
+/**
+ * Delay above which a late check shows that the process did not run for some time, in milliseconds.
+ */
 const MAX_NORMAL_DELAY_MS = 30;
 /**
- * For this long after a late look, a signal that is heard of may have come before it, in milliseconds: a process that
- * gets the processor in short turns reads other things first.
+ * Time after a late check in which a signal that is handled may have been sent before that check,
+ * in milliseconds: a process that gets the CPU only in short time slices handles other events
+ * first.
  */
 const SIGNAL_AGE_PERIOD_MS = LOOK_INTERVAL_MS;
 
-/** A time between two looks in which the process did not run for a while. */
+/** A gap between two checks in which the process did not run for some time. */
 interface LateCheck {
   readonly fromMs: number;
   readonly untilMs: number;
 }
 
-/** Decides from the times at which it was called. */
+/** Derives pauses from the times of its calls. */
 export class PauseDetector {
   private resumedAtMs = -Infinity;
-  /** Whether what came during the latest pause has been read. */
+  /** Whether the data that arrived during the latest pause has been read. */
   private hasReadBacklog = true;
   private lastTickMs = Infinity;
   private lateCheck: LateCheck = { fromMs: -Infinity, untilMs: -Infinity };
 
   /**
-   * `onDelayMs` gets how late each look was, in milliseconds: other work kept the process busy. `readAll` calls its
-   * action once the process has read what has arrived.
+   * `onDelayMs` receives the delay of each tick in milliseconds, caused by other work of the
+   * process. `afterSocketsRead` runs its action once the process has read the data that has
+   * arrived.
    */
   constructor(
     private lastCheckMs: number,
@@ -41,14 +45,17 @@
     private readonly afterSocketsRead: (action: () => void) => void = (action) => action(),
   ) {}
 
-  /** The regular look. */
+  /** Performs the periodic check and reports its delay. */
   tick(nowMs: number): void {
     this.onDelayMs?.(Math.max(0, nowMs - this.lastTickMs - LOOK_INTERVAL_MS));
     this.lastTickMs = nowMs;
     this.check(nowMs);
   }
 
-  /** Looks at the clock; to be called at least every {@link LOOK_INTERVAL_MS}. */
+  /**
+   * Compares the clock with the previous check. Must be called at least every
+   * {@link LOOK_INTERVAL_MS}.
+   */
   check(nowMs: number): void {
     if (nowMs - this.lastCheckMs > MIN_PAUSE_MS) {
       this.resumedAtMs = nowMs;
@@ -61,13 +68,16 @@
     this.lastCheckMs = nowMs;
   }
 
-  /** Whether the process has just woken, or has not read yet what came during the pause. */
+  /**
+   * Whether the process has just resumed, or has not yet read the data that arrived during the
+   * pause.
+   */
   hasJustResumed(nowMs: number): boolean {
     this.check(nowMs);
     return !this.hasReadBacklog || nowMs - this.resumedAtMs < RESUME_PERIOD_MS;
   }
 
-  /** Longest time for which a signal may have waited that is heard of now, in milliseconds. */
+  /** Maximum age of a signal that is handled now, in milliseconds. */
   signalAgeMs(nowMs: number): number {
     this.check(nowMs);
     const { fromMs, untilMs } = this.lateCheck;
--- a/src/proxy/planned-stop.ts
+++ b/src/proxy/planned-stop.ts
@@ -1,8 +1,9 @@
 /**
- * Decisions of a planned stop: what is taken, refused, given up and closed, and when. Pure: events with the
- * time in, effects out. `server-drain.ts` carries the effects out.
+ * Decisions of a planned stop (graceful shutdown): what is accepted, refused, given up and closed,
+ * and when. Pure: events with the time in, effects out. `server-drain.ts` executes the effects.
  *
- * A connection is closed only when nothing that was read on it waits for an answer, or at the bound.
+ * A connection is closed only when no request that was read from it awaits its response, or at the
+ * time limit.
  */
 import {
   deadlineWithin,
@@ -16,57 +17,64 @@
 
 /**
  * - `serving`: no stop has begun.
- * - `taking`: new requests are taken, answers close their connections; callers learn to go elsewhere.
- * - `refusing`: the listeners are shut and new requests are refused; those under way are waited for.
- * - `answering`: every request under way has been given its final answer, which goes out.
- * - `closing`: idle connections are closed; what was refused last goes out.
- * - `closed`: nothing is open any more.
+ * - `taking`: new requests are accepted; responses close their connections, and callers learn to
+ *   use other nodes.
+ * - `refusing`: the listeners are closed and new requests are refused; requests in flight are
+ *   awaited.
+ * - `answering`: every request in flight has been given its final response, which is being sent.
+ * - `closing`: idle connections are closed; the last refusals are being sent.
+ * - `closed`: no connection is open any more.
  */
 export type StopState = 'serving' | 'taking' | 'refusing' | 'answering' | 'closing' | 'closed';
 
-/** Bounds of a planned stop, in milliseconds. */
+/** Time limits of a planned stop, in milliseconds. */
 export interface PlannedStopLimits extends StopLimits {
-  /** Time that callers need to notice the stop: until then it goes on taking however quiet it is. */
+  /**
+   * Time that callers need to notice the stop; until then new requests are accepted even if there
+   * is no traffic.
+   */
   readonly stopNoticeMs: number;
   /** Time without a new request after which a stop ends early. */
   readonly stopQuietMs: number;
   readonly stopCloseMs: number;
-  /** Lateness of the process by which a stop ends earlier, at most; none when absent. */
+  /** Maximum event loop lag by which a stop ends earlier; 0 when absent. */
   readonly maxEventLoopLagMs?: number;
   /**
-   * Time for which callers may still read what was answered before their connections are cut, where a stop has
-   * that much left; none when absent.
+   * Time for which callers may still read responses before their connections are closed forcibly,
+   * if the stop has that much time left; none when absent.
    */
   readonly stopLingerMs?: number;
 }
 
-/** Something that happened. */
+/** An event that a planned stop handles. */
 export type StopEvent =
   | {
       readonly type: 'stop';
-      /** Longest time for which the signal may have waited, in milliseconds; 0 when absent. */
+      /** Maximum age of the signal when it is handled, in milliseconds; 0 when absent. */
       readonly signalAgeMs?: number;
     }
-  /** A regular look, after what waited in the system has been read. */
+  /** The periodic check, after pending socket data has been read. */
   | {
       readonly type: 'look';
-      /** Requests that wait for their answer, or whose answer is going out. */
+      /** Number of requests that await their response or whose response is being sent. */
       readonly inFlight: number;
-      /** Connections that are closed here and not by their callers yet; none when absent. */
+      /**
+       * Number of connections that were closed here but not by their callers yet; 0 when absent.
+       */
       readonly lingering?: number;
-      /** Connections of callers on which nothing is under way and that are not closed yet; none when absent. */
+      /** Number of open connections of callers without a request in flight; 0 when absent. */
       readonly idle?: number;
       readonly lastArrivalAtMs: number;
-      /** How late the process has lately been, in milliseconds; 0 when absent. */
+      /** Recent event loop lag, in milliseconds; 0 when absent. */
       readonly eventLoopLagMs?: number;
     }
-  /** The listeners are shut; so many connections that waited were taken before. */
+  /** The listeners are closed; `acceptedCount` pending connections were accepted before. */
   | { readonly type: 'listeners-shut'; readonly acceptedCount: number }
   | { readonly type: 'peers-closed' }
-  /** Everything ends at once. */
+  /** Ends the stop immediately. */
   | { readonly type: 'abort' };
 
-/** Something to be done. */
+/** An action that a planned stop requests. */
 export type StopEffect = 'shut-listeners' | 'give-up' | 'close-idle' | 'close-peers' | 'close-all';
 
 type DrainStatus = Extract<StopEvent, { type: 'look' }>;
@@ -80,43 +88,45 @@
   private closesByMs = Infinity;
   private areListenersShut = false;
   private arePeersClosed = false;
-  /** When connections that waited were taken last: their requests are still to come. */
+  /** When pending connections were last accepted; their requests are yet to arrive. */
   private acceptedPendingAtMs = -Infinity;
 
   constructor(private readonly limits: PlannedStopLimits) {}
 
-  /** How far the stop has come. */
   get state(): StopState {
     return this.current;
   }
 
-  /** Whether answers close their connections, and peers are told to go elsewhere. */
+  /** Whether responses close their connections and peers are directed to other nodes. */
   get isStopping(): boolean {
     return this.current !== 'serving';
   }
 
-  /** Whether a request that arrives is refused: its answer would come too late. */
+  /** Whether an arriving request is refused because its response would come too late. */
   refusesNewWork(nowMs: number): boolean {
     const isAccepting = this.current === 'serving' || this.current === 'taking';
     return !isAccepting || nowMs >= this.times.refusesFromMs;
   }
 
-  /** Whether a request that only starts now is given up at once. */
+  /** Whether a request that starts only now is given up immediately. */
   givesUp(nowMs: number): boolean {
     return nowMs >= this.times.givesUpAtMs;
   }
 
-  /** The deadline of a request that arrives. */
+  /**
+   * Returns the deadline of an arriving request, limited to the time for which the stop awaits
+   * requests.
+   */
   deadlineWithin(deadlineAtMs: number): number {
     return deadlineWithin(deadlineAtMs, this.times);
   }
 
-  /** Time to the next moment at which something is due whatever happens, in milliseconds. */
+  /** Time until the next time limit, which takes effect in any case, in milliseconds. */
   msToNextBound(nowMs: number): number {
     return Math.max(0, this.nextBoundMs() - nowMs);
   }
 
-  /** Takes an event; effects are to be executed in order. */
+  /** Handles an event; the effects are to be executed in order. */
   handle(event: StopEvent, nowMs: number): StopEffect[] {
     switch (event.type) {
       case 'stop':
@@ -149,7 +159,7 @@
     this.times = stopTimes(this.startedAtMs, this.limits, delays);
   }
 
-  /** A process that was late may be so again: what is left of the stop goes by the longest delay. */
+  /** Adjusts the rest of the stop to the longest lag: a process that was late may be late again. */
   private applyEventLoopLag(eventLoopLagMs: number): void {
     const { maxEventLoopLagMs = 0 } = this.limits;
     const countedMs = Math.min(eventLoopLagMs, maxEventLoopLagMs);
@@ -176,7 +186,10 @@
     }
   }
 
-  /** Passes one bound at most: answers that were just given go out before the next. */
+  /**
+   * Passes at most one time limit per check, so that responses produced at one limit are sent
+   * before the next one takes effect.
+   */
   private advance(status: DrainStatus, nowMs: number): StopEffect[] {
     this.applyEventLoopLag(status.eventLoopLagMs ?? 0);
     const isDue = nowMs >= this.nextBoundMs();
@@ -206,28 +219,30 @@
     return isDue ? this.enter('answering', ['give-up']) : [];
   }
 
-  /** Callers have had time to notice the stop, and none comes any more. */
+  /** Whether callers have had time to notice the stop and no request arrives any more. */
   private hasTrafficEnded(status: DrainStatus, nowMs: number): boolean {
     return nowMs - this.startedAtMs >= this.limits.stopNoticeMs && this.isQuiet(status, nowMs);
   }
 
-  /** Nothing is in flight and nothing has arrived for a while. */
+  /** Whether nothing is in flight and nothing has arrived for `stopQuietMs`. */
   private isQuiet({ inFlight, lastArrivalAtMs }: DrainStatus, nowMs: number): boolean {
     const lastAtMs = Math.max(this.startedAtMs, lastArrivalAtMs, this.acceptedPendingAtMs);
     return inFlight === 0 && nowMs - lastAtMs >= this.limits.stopQuietMs;
   }
 
-  /** Quiet, and no connection waits to be taken. */
+  /** Whether there is no traffic and no connection is waiting to be accepted. */
   private isDrained(status: DrainStatus, nowMs: number): boolean {
     return this.areListenersShut && this.isQuiet(status, nowMs);
   }
 
-  /** The last refusals have gone out, and the connections of peers and callers are closed. */
+  /**
+   * Whether the last refusals have been sent and the connections of peers and callers are closed.
+   */
   private isEmpty({ inFlight, lingering = 0, idle = 0 }: DrainStatus): boolean {
     return this.arePeersClosed && inFlight === 0 && lingering === 0 && idle === 0;
   }
 
-  /** Connections that a pause of the process kept open, or that have become idle since. */
+  /** Closes connections that a pause of the process kept open, or that have become idle since. */
   private closeRemainingIdle({ idle = 0 }: DrainStatus): StopEffect[] {
     return idle > 0 ? ['close-idle'] : [];
   }
--- a/src/proxy/reading-pause.ts
+++ b/src/proxy/reading-pause.ts
@@ -1,13 +1,16 @@
 /**
- * How long what is read of a connection may have lain unread. Node stops to read a connection while answers that
- * wait on it exceed a bound, and what comes meanwhile waits in the system.
+ * Determines how long data that is read from a connection may have been waiting. Node stops reading
+ * a connection while the responses queued on it exceed a limit; data that arrives meanwhile stays
+ * in the receive buffer of the operating system.
  */
 import type { Socket } from 'node:net';
 
-/** The pauses of one connection. */
+/** Tracks the read pauses of one connection. */
 export class ReadingPause {
   private pausedAtMs: number | undefined;
-  /** Length of the pause that has just ended; 0 once all that came in it has been read. */
+  /**
+   * Length of the pause that has just ended; 0 once all data that arrived during it has been read.
+   */
   private lastPauseMs = 0;
 
   constructor(
@@ -20,9 +23,9 @@
     socket.on('resume', () => this.end());
   }
 
-  /** Longest time for which a request may have waited that is read now, in milliseconds. */
+  /** Maximum time for which a request that is read now may have been waiting, in milliseconds. */
   get unreadMs(): number {
-    // Node takes what it had read already before it tells of the end of the pause.
+    // Node processes the data that it has already read before it reports the end of the pause.
     return this.pausedAtMs === undefined ? this.lastPauseMs : this.nowMs() - this.pausedAtMs;
   }
 
@@ -32,7 +35,7 @@
     }
     this.lastPauseMs = this.nowMs() - this.pausedAtMs;
     this.pausedAtMs = undefined;
-    // What waited is read in the next whole turn of the event loop.
+    // The data that was waiting is read in the next full iteration of the event loop.
     setImmediate(() => setImmediate(() => (this.lastPauseMs = 0)));
   }
 }
--- a/src/proxy/request-proxy.ts
+++ b/src/proxy/request-proxy.ts
@@ -17,7 +17,7 @@
 import { NATIVE_ENDPOINT_PROTOCOL, type EndpointProtocol } from './endpoint-protocol.js';
 import { reportEndpointStates, type EndpointStateReport } from './endpoint-states.js';
 import { EndpointGateway } from './endpoint-gateway.js';
-import { EventLoopLag } from './event-loop-lag.js';
+import { EventLoopLag } from './loop-lateness.js';
 import { PauseDetector } from './pause-detector.js';
 import { DEFAULT_PROXY_LIMITS, type ProxyLimits } from './proxy-limits.js';
 import { RelayClient } from './relay/relay-client.js';
--- a/src/proxy/server-drain.ts
+++ b/src/proxy/server-drain.ts
@@ -1,6 +1,6 @@
 /**
- * Carries a planned stop out on servers: looks again and again at what is in flight, gives it to
- * {@link PlannedStop}, and does what that decides.
+ * Executes a planned stop on servers: regularly passes the state of their requests and connections
+ * to {@link PlannedStop} and executes its effects.
  */
 import type http from 'node:http';
 import { Server as SocketServer } from 'node:net';
@@ -8,38 +8,43 @@
 import type { PlannedStop, StopEffect, StopEvent } from './planned-stop.js';
 import { SocketPoll } from './socket-poll.js';
 
-/** Time between two looks at what is in flight, in milliseconds. */
+/** Interval between two polls, in milliseconds. */
 const POLL_INTERVAL_MS = 20;
-/** Reads of a listener before it is shut, at most, while connections wait there. */
+/** Maximum number of socket polls before a listener is closed while connections keep arriving. */
 const MAX_ACCEPT_READS = 500;
-/** Looks in a row that are given up since the process stood still after its read. */
+/**
+ * Maximum number of consecutive polls that are discarded because the process was suspended after
+ * reading its sockets.
+ */
 const MAX_STALE_POLLS = 10;
 
-/** What a planned stop needs to know of its servers, and does beside them. */
+/**
+ * State that a planned stop depends on, and actions that it performs besides those on its servers.
+ */
 export interface DrainOptions {
   readonly stop: PlannedStop;
-  /** Longest time for which the signal may have waited for the process, in milliseconds; 0 when absent. */
+  /** Maximum age of the signal when it is handled, in milliseconds; 0 when absent. */
   readonly signalAgeMs?: number;
-  /** How late the process has lately been, in milliseconds; never when absent. */
+  /** Recent event loop lag, in milliseconds; taken as 0 when absent. */
   readonly eventLoopLagMs?: () => number;
   readonly lastArrivalAtMs: () => number;
   readonly inFlight: () => number;
-  /** Connections that are closed here and not by the other side yet; none when absent. */
+  /** Number of connections that were closed here but not by the other side yet; 0 when absent. */
   readonly lingering?: () => number;
-  /** Connections of callers on which nothing is under way and that are not closed yet; none when absent. */
+  /** Number of open connections of callers without a request in flight; 0 when absent. */
   readonly idle?: () => number;
   readonly clock: () => number;
-  /** Gives every request under way its final answer. */
+  /** Gives every request in flight its final response. */
   readonly giveUp: () => void;
-  /** Closes connections on which nothing is under way, as long as `mayClose` says so. */
+  /** Closes connections without a request in flight for as long as `mayClose` returns true. */
   readonly closeIdle: (mayClose: () => boolean) => void;
-  /** Resolves once connections to peers have sent what they had and are closed. */
+  /** Resolves once connections to peers have sent their pending data and are closed. */
   readonly closePeers: () => Promise<void>;
-  /** Closes what is still open. */
+  /** Closes all remaining connections. */
   readonly closeAll: () => void;
 }
 
-/** Resolves when the stop is over: when nothing is in flight any more, or at its bound. */
+/** Resolves when the stop is over: when nothing is in flight any more, or at its time limit. */
 export function drainServers(
   servers: readonly http.Server[],
   options: DrainOptions,
@@ -77,7 +82,10 @@
   onStopped();
 }
 
-/** What a planned stop goes by, after the event loop has read what waits in the system. */
+/**
+ * Reads the state that a planned stop depends on; to be called after the event loop has read its
+ * sockets.
+ */
 function readStatus(options: DrainOptions): StopEvent {
   const { inFlight, lingering, idle, lastArrivalAtMs, eventLoopLagMs } = options;
   return {
@@ -90,7 +98,7 @@
   };
 }
 
-/** What the effects of a stop are carried out with. */
+/** Context in which the effects of a stop are executed. */
 interface StopExecution {
   readonly servers: readonly http.Server[];
   readonly options: DrainOptions;
@@ -121,7 +129,7 @@
   }
 }
 
-/** A channel that gets a value once the event loop has read all sockets. */
+/** Returns a channel that receives a value once the event loop has read all sockets. */
 function renewalOf(poll: SocketPoll): unknown {
   const polled = csp.chan<true>(csp.buffers.fixed(1));
   void poll.renew().then(() => csp.offer(polled, true));
@@ -129,8 +137,8 @@
 }
 
 /**
- * Shuts a listener alone. `http.Server.close` would cut idle connections too, and with them a request that a
- * caller is just sending, or an answer that it has not read yet.
+ * Closes only the listener. `http.Server.close` would also close idle connections, and with them a
+ * request that a caller is just sending or a response that it has not read yet.
  */
 function shutListener(server: http.Server): void {
   if (server.listening) {
@@ -138,7 +146,7 @@
   }
 }
 
-/** Resolves with the connections that were taken before. */
+/** Resolves with the number of connections that were accepted before. */
 async function shutListeners(servers: readonly http.Server[], poll: SocketPoll): Promise<number> {
   let acceptedCount = 0;
   for (const server of servers) {
@@ -151,8 +159,9 @@
 }
 
 /**
- * Takes the connections that the system has set up and that wait to be accepted: it would reset them
- * with the listener. At least one is accepted in each whole turn of the event loop while any waits.
+ * Accepts the connections that the operating system has established and that wait to be accepted:
+ * it would reset them when the listener is closed. Each full iteration of the event loop accepts at
+ * least one while any are waiting.
  */
 async function acceptPendingConnections(server: http.Server, poll: SocketPoll): Promise<number> {
   let accepted = 0;
--- a/src/proxy/socket-poll.ts
+++ b/src/proxy/socket-poll.ts
@@ -1,27 +1,34 @@
 /**
- * Whether what the event loop has read of its sockets is current. A process that loses the processor after a read
- * would otherwise close connections under requests that arrived since.
+ * Tells whether the data that the event loop has read from its sockets is current. Without this
+ * check, a process that loses the CPU after a read would close connections on which requests have
+ * arrived since.
  */
 import { MACHINE_TIME } from './scheduler.js';
 
-/** Age up to which a read is current, in milliseconds: a quarter of the time in which a request counts as unread. */
+/**
+ * Maximum age of a read that counts as current, in milliseconds: a quarter of the time after which
+ * a request counts as unread.
+ */
 const MAX_AGE_MS = 50;
-/** Turns of the event loop in which a current read is looked for, at most. */
+/** Maximum number of event loop iterations in which a current read is attempted. */
 const MAX_ITERATIONS = 40;
 
 /** The latest read of all sockets by the event loop. */
 export class SocketPoll {
-  /** What had arrived by then has been read. */
+  /** All data that had arrived by this time has been read. */
   private polledAtMs = -Infinity;
 
   constructor(private readonly nowMs: () => number = () => MACHINE_TIME.now()) {}
 
-  /** Whether all that had arrived up to a moment ago has been read; false again after a pause of the process. */
+  /**
+   * Whether all data that had arrived up to {@link MAX_AGE_MS} ago has been read; false again after
+   * a pause of the process.
+   */
   get isCurrent(): boolean {
     return this.nowMs() - this.polledAtMs <= MAX_AGE_MS;
   }
 
-  /** Resolves once the event loop has read all sockets, in a turn that was short where there is one. */
+  /** Resolves once the event loop has read all sockets, if possible in a short iteration. */
   async renew(): Promise<void> {
     await afterPollPhase();
     for (let iterations = 0; iterations < MAX_ITERATIONS; iterations += 1) {
@@ -35,7 +42,10 @@
   }
 }
 
-/** Resolves after the event loop has polled; after a second call, it has polled in a whole turn. */
+/**
+ * Resolves after the event loop has polled its sockets; the second call in a row covers a full
+ * iteration.
+ */
 function afterPollPhase(): Promise<void> {
   return new Promise(setImmediate);
 }
--- a/src/proxy/stop-times.ts
+++ b/src/proxy/stop-times.ts
@@ -1,64 +1,70 @@
-/** The moments of a planned stop, on the node's monotonic clock in milliseconds. Pure. */
+/**
+ * The times of the phases of a planned stop, on the node's monotonic clock in milliseconds. Pure.
+ */
 
-/** Bounds of a planned stop, in milliseconds since its signal. */
+/** Time limits of a planned stop, in milliseconds since its signal. */
 export interface StopLimits {
-  /** Time for which new requests are taken at most. */
+  /** Maximum time for which new requests are accepted. */
   readonly stopAcceptMs: number;
-  /** Time for which requests in flight are waited for. */
+  /** Time for which requests in flight are awaited. */
   readonly stopTimeoutMs: number;
-  /** Time after that in which the answers to requests that were given up go out. */
+  /** Time after `stopTimeoutMs` in which the responses to requests that were given up are sent. */
   readonly stopAnswerMs: number;
-  /** Time for connections to close in, after all other bounds; none when absent. */
+  /** Time for closing connections, after all other time limits; 0 when absent. */
   readonly stopCloseMs?: number;
   /**
-   * Time for which requests in flight are waited for at least, wherever the rest of the stop can be made shorter for
-   * it; `stopTimeoutMs` when absent.
+   * Minimum time for which requests in flight are awaited, as far as the rest of the stop can be
+   * shortened for it; `stopTimeoutMs` when absent.
    */
   readonly stopMinTimeoutMs?: number;
 }
 
-/** What makes a process late. Times are in milliseconds. */
+/** Delays of the process, in milliseconds. */
 export interface StopDelays {
-  /** Longest time for which the signal may have waited for the process. */
+  /** Maximum age of the signal when it is handled. */
   readonly signalAgeMs: number;
-  /** How late the process has lately been. */
+  /** Recent event loop lag. */
   readonly eventLoopLagMs: number;
 }
 
 /** When the phases of a planned stop begin. */
 export interface StopTimes {
-  /** New requests are refused: their answers would come too late. */
+  /** New requests are refused, because their responses would come too late. */
   readonly refusesFromMs: number;
-  /** Every request that is still under way gets its final answer. */
+  /** Every request that is still in flight gets its final response. */
   readonly givesUpAtMs: number;
-  /** What is still open is closed. */
+  /** All remaining connections are closed. */
   readonly closesAtMs: number;
-  /** The stop is over, whatever is still open. */
+  /** The stop is over, even if connections are still open. */
   readonly endsByMs: number;
 }
 
-/** No stop has begun. */
+/** Times while no stop has begun. */
 export const NO_STOP: StopTimes = {
   refusesFromMs: Infinity,
   givesUpAtMs: Infinity,
   closesAtMs: Infinity,
   endsByMs: Infinity,
 };
-/** A process that runs at once. */
+/** Delays of a process that runs without delay. */
 export const NO_DELAYS: StopDelays = { signalAgeMs: 0, eventLoopLagMs: 0 };
 
 /**
- * Deadlines lie this much after the moment at which requests are given up, in milliseconds: what is
- * known of a request at that moment tells more than that its time is over. A refusal for want of a slot
- * comes 60 ms before a deadline, so it still comes before that moment.
+ * Deadlines are limited to this long after the moment at which requests are given up, in
+ * milliseconds: the error given at that moment is more specific than an expired deadline. A refusal
+ * for lack of a slot is sent 60 ms before a deadline, so it still precedes that moment.
  */
 const DEADLINE_LAG_MS = 20;
-/** Part of the time for answers that is kept where requests are waited for at its cost. */
+/**
+ * Minimum share of `stopAnswerMs` that remains when requests in flight are awaited at its expense.
+ */
 const MIN_ANSWER_SHARE = 0.5;
 
 /**
- * The moments of a stop that is heard of now. The signal may be as old as `signalAgeMs`, which bounds the end, or new,
- * which bounds from below how long requests are waited for. A late process ends earlier by as much as it may be late.
+ * Computes the times of a stop whose signal is handled now. The signal may be as old as
+ * `signalAgeMs`, which limits the end of the stop, or new, which determines the minimum time for
+ * which requests are awaited. The stop ends earlier by the event loop lag, because the process may
+ * be late by as much.
  */
 export function stopTimes(
   nowMs: number,
@@ -88,8 +94,9 @@
 }
 
 /**
- * The deadline of a request that arrives: no later than the stop can wait. So admission refuses at once
- * what can't finish before, instead of taking what would be given up.
+ * Returns the deadline of an arriving request, limited to the time for which the stop can wait.
+ * Admission then refuses requests that can't finish in that time immediately, instead of accepting
+ * requests that would be given up.
  */
 export function deadlineWithin(deadlineAtMs: number, { givesUpAtMs }: StopTimes): number {
   return Math.min(deadlineAtMs, givesUpAtMs + DEADLINE_LAG_MS);
--- a/test/proxy/signal-age.test.ts
+++ b/test/proxy/signal-age.test.ts
@@ -1,7 +1,7 @@
 /** Guards against a planned stop that counts from when its handler ran instead of from its signal. */
 import { expect } from 'chai';
 import { LOOK_INTERVAL_MS } from '../../src/clock/shared-interval.js';
-import { EventLoopLag } from '../../src/proxy/event-loop-lag.js';
+import { EventLoopLag } from '../../src/proxy/loop-lateness.js';
 import { PauseDetector } from '../../src/proxy/pause-detector.js';
 
 describe('the age of a signal', () => {
