--- a/src/proxy/buffered-answer.ts
+++ b/src/proxy/buffered-answer.ts
@@ -1,14 +1,14 @@
-/** Keeps an answer in memory, for the case that no other attempt brings a better one. */
+/** Buffers a response in memory, to be used if no other attempt brings a better one. */
 import type { Answer } from './call.js';
 
 /**
- * Reads the body of `answer` to its end, so that its connection can be used again, and gives the answer to
- * `keep` once it is whole, unless it has more than `maxBytes`.
+ * Reads the body of `answer` to its end, so that its connection can be reused, and passes the
+ * complete answer to `onBuffered` unless it has more than `maxBytes`.
  */
 export function bufferAnswer(
   answer: Answer,
   maxBytes: number,
-  onBuffered: (kept: Answer) => void,
+  onBuffered: (buffered: Answer) => void,
 ): void {
   const { body } = answer;
   if (body.kind === 'held') {
--- a/src/proxy/endpoint-gate.ts
+++ b/src/proxy/endpoint-gate.ts
@@ -18,7 +18,7 @@
 import type { EndpointPort } from './endpoint-client.js';
 import { closedReasonOf, coldNewsOf, type EndpointTerms } from './endpoint-terms.js';
 import { GatedCall, type CallGate, type CancelLead } from './gated-call.js';
-import { ProcessExitDetector } from './process-exit-detector.js';
+import { ProcessExitDetector } from './loss-judge.js';
 import type { RequestError } from './request-error.js';
 import { namedFingerprint, type RequestLog } from './request-log.js';
 import type { CancelTimer, Scheduler } from './scheduler.js';
--- a/src/proxy/gated-call.ts
+++ b/src/proxy/gated-call.ts
@@ -1,6 +1,6 @@
 /**
- * One request at the gate of its endpoint: waiting, then dispatched. Executes the effects of
- * {@link EndpointAttempt}.
+ * A request that waits in the queue of one endpoint and is then dispatched to it. Executes the
+ * effects of {@link EndpointAttempt}.
  */
 import type { Endpoint } from '../model/resource.js';
 import { attemptError, DEFAULT_RETRY_AFTER_MS, endpointRefusedError } from './attempt-errors.js';
@@ -13,56 +13,71 @@
 } from './endpoint-attempt.js';
 import type { EndpointPort } from './endpoint-client.js';
 import type { Exchange, ExchangeFailure } from './http-exchange.js';
-import type { EndpointRequest } from './process-exit-detector.js';
+import type { EndpointRequest } from './loss-judge.js';
 import { refusalLeadMs } from './refusal-lead.js';
 import type { CancelTimer, Scheduler } from './scheduler.js';
 import { CannotFinishInTimeError, EndpointGoneError, type RequestError } from './request-error.js';
 
-/** Least time that a cancellation is waited for, in milliseconds. */
+/** Minimum timeout of a cancellation, in milliseconds. */
 const MIN_CANCEL_TIMEOUT_MS = 20;
-/** A slot whose request can't be accounted for stays taken for this long past its deadline. */
+/**
+ * Time past the deadline after which the slot of a request with an unknown outcome is freed, in
+ * milliseconds.
+ */
 const ORPHAN_HOLD_MS = 1_000;
 
-/** Answers from this status on report a fault of the endpoint. */
+/** Responses with this status or a higher one report a fault of the endpoint. */
 const MIN_SERVER_ERROR_STATUS = 500;
 
-/** How requests are cancelled: the time that is kept for it at their end, and what it does. */
+/**
+ * How requests are cancelled: the time reserved for the cancellation before the deadline, and when
+ * the slot is freed.
+ */
 export interface CancelLead {
-  /** Part of the remaining time. */
+  /** Share of the remaining time that is reserved. */
   readonly cancelLeadShare: number;
-  /** Most of it, in milliseconds. */
+  /** Upper limit of the reserved time, in milliseconds. */
   readonly maxCancelLeadMs: number;
   /** See {@link EndpointProtocol.slotFreedAfterCloseMs}. */
   readonly slotFreedAfterCloseMs?: number | undefined;
 }
 
-/** What a request needs of its gate. */
+/** The part of the endpoint's gate that a request uses. */
 export interface CallGate {
-  /** Load, with the time that the class of work takes. */
+  /** Load of the endpoint, with the mean service time of the work class. */
   load(workClass: string): LoadReport;
-  /** The request is given up; true when it was still waiting. */
+  /** Withdraws a request; returns true when it was still waiting. */
   withdraw(call: Call): boolean;
-  /** A request that waited is refused, to come back after `retryAfterMs`; for the log. */
+  /** Logs that a waiting request was refused and should be retried after `retryAfterMs`. */
   recordExpiry(call: Call, retryAfterMs: number): void;
-  /** A dispatched request no longer occupies the endpoint; with its time when it was answered. */
+  /**
+   * Frees the slot of a dispatched request; `serviceMs` is its service time when it was answered.
+   */
   release(call: Call, serviceMs: number | undefined): void;
-  /** A dispatched request is given up while the endpoint is at work on it, for `elapsedMs` so far. */
+  /**
+   * Records that a dispatched request was given up after `elapsedMs`, while the endpoint was
+   * processing it.
+   */
   recordUnfinished(call: Call, elapsedMs: number): void;
-  /** The endpoint answered and told its load. */
+  /** Applies the load that the endpoint reported with a response. */
   applyLoadReport(load: LoadReport | undefined): void;
-  /** What a dispatched request came to, where that speaks for the endpoint. */
+  /** Records whether a dispatched request failed, where its outcome reflects on the endpoint. */
   recordOutcome(hasFailed: boolean): void;
-  /** The endpoint got the request and did not answer it; for the log. */
+  /** Logs that the endpoint received the request and did not answer it. */
   recordFailure(call: Call, code: string, elapsedMs: number, detail: string): void;
-  /** The endpoint refused before the start. */
+  /** Applies a refusal that the endpoint sent before it started the request. */
   applyRefusal(load: LoadReport | undefined): void;
-  /** The connection was lost; `report` gets whether the endpoint's process ended. */
+  /**
+   * Determines after the loss of a connection whether the endpoint's process exited; `report`
+   * receives the result.
+   */
   classifyLoss(gated: GatedCall, report: (hasExited: boolean) => void): void;
-  /** The endpoint answered in whole; `isSuccess` unless the answer reports a fault of its own. */
+  /**
+   * Records a complete response; `isSuccess` unless the response reports a fault of the endpoint.
+   */
   answerCompleted(gated: GatedCall, isSuccess: boolean): void;
 }
 
-/** One request. */
 export class GatedCall implements Attempt, EndpointRequest {
   private attempt: EndpointAttempt | undefined;
   private exchange: Exchange | undefined;
@@ -74,7 +89,7 @@
   private isOver = false;
   private isEndpointGone = false;
   private isAbandoned = false;
-  /** Whether the exchange is over, or was given up. */
+  /** Whether the exchange ended or was aborted. */
   private isExchangeOver = false;
 
   constructor(
@@ -99,7 +114,7 @@
     }
   }
 
-  /** The request waits at another gate from now on: it is sent to that one's endpoint. */
+  /** Moves a waiting request to another gate; it will be sent to that gate's endpoint. */
   moveTo(gate: CallGate, endpoint: Endpoint): void {
     this.cancelTimer?.();
     this.gate = gate;
@@ -110,7 +125,9 @@
     return this.attempt === undefined || this.exchange?.wasSent() === false;
   }
 
-  /** Whether the endpoint has got the request, so that it may be at work on it until its slot is free. */
+  /**
+   * Whether the endpoint has received the request and may be processing it until its slot is freed.
+   */
   isInProgress(): boolean {
     return this.exchange?.wasSent() === true;
   }
@@ -119,7 +136,7 @@
     return this.isInProgress() && !this.isExchangeOver;
   }
 
-  /** Refuses the request when it still waits at `latestStartAtMs`. */
+  /** Refuses the request if it is still waiting at `latestStartAtMs`. */
   scheduleExpiry(latestStartAtMs: number): void {
     if (this.attempt === undefined && !this.isOver) {
       const nowMs = this.scheduler.now();
@@ -157,7 +174,10 @@
     });
   }
 
-  /** Without such times only what an endpoint finished would count: the slower it is, the less of it. */
+  /**
+   * Reports the elapsed time of an unfinished request. If only completed requests counted, a slower
+   * endpoint would contribute fewer measurements, and its service time would be underestimated.
+   */
   private recordUnfinished(): void {
     if (this.answer === undefined && this.isConnected()) {
       this.gate.recordUnfinished(this.call, this.scheduler.now() - this.dispatchedAtMs);
@@ -178,7 +198,9 @@
   private expireWaiting(): void {
     if (this.attempt === undefined && this.gate.withdraw(this.call)) {
       this.gate.recordExpiry(this.call, DEFAULT_RETRY_AFTER_MS);
-      this.refuse(new CannotFinishInTimeError('no slot came free in time', DEFAULT_RETRY_AFTER_MS));
+      this.refuse(
+        new CannotFinishInTimeError('no slot became free in time', DEFAULT_RETRY_AFTER_MS),
+      );
     }
   }
 
@@ -249,7 +271,7 @@
     this.observer.failed(error, this.gate.load(this.call.workClass));
   }
 
-  /** The load that the endpoint told with its refusal. */
+  /** The load that the endpoint reported with its refusal. */
   private describeLoad(): string {
     return this.load === undefined ? '' : `load ${this.load.inFlight}/${this.load.slots}`;
   }
@@ -295,7 +317,7 @@
   private errorOf(report: AttemptReport): RequestError {
     const { name } = this.endpoint;
     if (this.isEndpointGone) {
-      return new EndpointGoneError(`another process has the address of endpoint ${name}`);
+      return new EndpointGoneError(`another process is running at the address of endpoint ${name}`);
     }
     return report === 'refused'
       ? endpointRefusedError(name, this.load?.draining === true, this.retryAfterMs)
--- a/src/proxy/headers.ts
+++ b/src/proxy/headers.ts
@@ -1,15 +1,14 @@
 /**
- * Header lists as Node's `rawHeaders`: name, value, name, value. Lists are copied once per hop and
- * never turned into objects.
+ * Header lists in the format of Node's `rawHeaders`: names and values, alternating. Lists are
+ * copied once per hop and never converted to objects.
  */
 
-/** Prefix of headers between nodes; never taken from callers or endpoints. */
+/** Prefix of headers between nodes; never accepted from callers or endpoints. */
 export const INTERNAL_HEADER_PREFIX = 'ferryspool-';
 
-/** A flat list of names and values, alternating. */
 export type HeaderList = readonly string[];
 
-/** Headers of one connection, not of the message (RFC 9110, 7.6.1), and framing, which is set anew. */
+/** Hop-by-hop headers (RFC 9110, 7.6.1) and framing headers, which are set anew for each hop. */
 const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'content-length',
@@ -25,8 +24,8 @@
 ]);
 
 /**
- * The headers that belong to the message: without those of the connection, those that `Connection`
- * names, those between nodes, and those in `dropped` (lower-case names).
+ * Returns the end-to-end headers of the message: without hop-by-hop headers, headers that
+ * `Connection` nominates, headers between nodes, and those in `dropped` (lower-case names).
  */
 export function messageHeaders(raw: HeaderList, dropped: ReadonlySet<string>): string[] {
   const nominated = nominatedByConnection(raw);
@@ -57,7 +56,7 @@
   return undefined;
 }
 
-/** A whole number of milliseconds, not negative; undefined for anything else. */
+/** Parses a non-negative integer of at most 12 digits; returns undefined for any other text. */
 export function parseMilliseconds(text: string | undefined): number | undefined {
   if (text === undefined || !/^[0-9]{1,12}$/.test(text)) {
     return undefined;
@@ -65,7 +64,9 @@
   return Number(text);
 }
 
-/** Names in `Connection`, but for `host`, which every request needs. */
+/**
+ * Returns the lower-case names listed in `Connection`, except `host`, which every request needs.
+ */
 function nominatedByConnection(raw: HeaderList): Set<string> | undefined {
   let nominated: Set<string> | undefined;
   for (let index = 0; index + 1 < raw.length; index += 2) {
--- a/src/proxy/http-exchange.ts
+++ b/src/proxy/http-exchange.ts
@@ -1,81 +1,90 @@
 /**
- * One HTTP/1.1 request to an endpoint and its answer, over a pooled connection. Tells apart a request of which nothing was sent from one that may have arrived.
+ * One HTTP/1.1 request to an endpoint and its response, over a pooled connection. Distinguishes a
+ * request of which nothing was sent from one that may have arrived.
  */
 import http from 'node:http';
 import type { Socket } from 'node:net';
 import type { Duplex } from 'node:stream';
 import type { RequestBody } from './request-body.js';
 
-/** Idle connections are closed after this time, before usual servers close them, in milliseconds. */
+/**
+ * Time after which idle connections are closed, in milliseconds: shorter than the idle timeouts of
+ * common servers.
+ */
 export const DEFAULT_IDLE_CONNECTION_MS = 4_000;
-/** Idle connections kept to one destination at most. */
+/** Maximum number of idle connections kept per destination. */
 const MAX_IDLE_CONNECTIONS = 32;
 const MAX_ANSWER_HEADER_BYTES = 32 * 1024;
 
-/** How an exchange failed before its answer. */
+/** How an exchange failed before its response. */
 export type ExchangeFailure =
-  /** No connection was opened: not a byte was sent. */
+  /** No connection was established, so no byte was sent. */
   | 'never-sent'
-  /** The connection died after it was opened. */
+  /** The connection failed after it was established. */
   | 'lost'
-  /** The answer can't be parsed, or its end can't be checked. */
+  /** The response can't be parsed, or its completeness can't be verified. */
   | 'malformed';
 
-/** Gets the outcome: one of the two, once. */
+/** Receives the outcome: exactly one of the two methods is called, once. */
 export interface ExchangeObserver {
-  /** `isWhole` tells, once the message has closed, whether its body arrived in full. */
+  /** `isComplete` returns, once the message has closed, whether its body arrived in full. */
   answered(message: http.IncomingMessage, isComplete: () => boolean): void;
-  /** `wasReused` tells whether the connection had carried a request before. */
+  /** `wasReused` is true when the connection had carried a request before. */
   failed(failure: ExchangeFailure, wasReused: boolean): void;
 }
 
-/** Bounds of an exchange, in milliseconds. */
+/** Time limits of an exchange, in milliseconds. */
 export interface ExchangeLimits {
-  /** Time to open a connection. */
+  /** Timeout for establishing a connection. */
   readonly connectTimeoutMs: number;
-  /** Time without a byte of the answer's body after which it is given up. */
+  /** Time without a byte of the response body after which the exchange is aborted. */
   readonly answerIdleTimeoutMs: number;
 }
 
-/** What is sent, and where. */
+/** A request and its destination. */
 export interface ExchangeRequest {
   readonly host: string;
   readonly port: number;
-  /** Names the process there: connections that are kept to another one are not used. */
+  /**
+   * Identifies the process at the address; pooled connections to another process are not reused.
+   */
   readonly peerProcess?: string;
   readonly method: string;
   readonly target: string;
-  /** Names and values, alternating; framing headers are added here. */
+  /** Names and values, alternating; framing headers are appended to this list. */
   readonly headers: string[];
   readonly body: RequestBody;
   readonly limits: ExchangeLimits;
-  /** Whether an answer without a length may end with its connection; false when absent. */
+  /**
+   * Whether a response without a length may be delimited by the end of its connection; false when
+   * absent.
+   */
   readonly allowsUnframedAnswer?: boolean;
 }
 
-/** An exchange under way. */
+/** An exchange in progress. */
 export interface Exchange {
-  /** Whether the connection was open, so that bytes may have been sent. */
+  /** Whether the connection was established, so that bytes may have been sent. */
   wasSent(): boolean;
-  /** Closes the connection; nothing more is reported. */
+  /** Closes the connection; no outcome is reported afterwards. */
   abort(): void;
 }
 
-/** What the agent is told of a request, besides what Node's own agent uses. */
+/** Request options extended by the process that the agent pools connections by. */
 interface PeerOptions extends http.RequestOptions {
   readonly peerProcess?: string | undefined;
 }
 
 /**
- * Keeps connections for reuse, by the process that they lead to: one that ended without a word leaves
- * connections that look sound, and what is sent on them to the next one at its address would be lost. A
- * connection on which bytes arrive while it is idle is closed: they
- * could only be taken for the answer to a later request.
+ * Pools connections by the process that they lead to. A process that ended without closing its
+ * connections leaves some that look usable; requests sent on them to the next process at its
+ * address would be lost. An idle connection on which bytes arrive is closed: the bytes could only
+ * be mistaken for the response to a later request.
  */
 export class ExchangeAgent extends http.Agent {
   /**
-   * `maxConnections` bounds the connections to each destination; requests over it wait. A connection
-   * is kept for `idleMs` without a request.
+   * `maxConnections` limits the connections per destination; requests beyond it wait. A connection
+   * is closed after `idleMs` without a request.
    */
   constructor(maxConnections = Infinity, idleMs = DEFAULT_IDLE_CONNECTION_MS) {
     super({
@@ -101,7 +110,6 @@
   }
 }
 
-/** Starts an exchange. */
 export function startExchange(
   agent: http.Agent,
   exchange: ExchangeRequest,
@@ -114,7 +122,9 @@
   private readonly request: http.ClientRequest;
   private connected = false;
   private settled = false;
-  /** Whether the connection failed, at any time: an answer that ends with it is not whole. */
+  /**
+   * Whether the connection failed at any time; a response delimited by its end is then incomplete.
+   */
   private hasConnectionFailed = false;
   private connectTimer: NodeJS.Timeout | undefined;
 
@@ -164,7 +174,8 @@
       return;
     }
     const { connectTimeoutMs } = exchange.limits;
-    // After a pause of the process the connection may be open, and the timer come before that is read.
+    // After a pause of the process, the timer may fire before the event of an established
+    // connection has been handled.
     this.connectTimer = setTimeout(
       () => setImmediate(() => this.handleConnectTimeout()),
       connectTimeoutMs,
@@ -185,7 +196,8 @@
     if (!this.request.destroyed) {
       this.connected = true;
       if (!body.isWhole()) {
-        // A head that waits for the body's first bytes would promise the endpoint time that is over by then.
+        // The head tells the endpoint how much time is left. If it waited for the first bytes of
+        // the body, a part of that time would have passed when it is sent.
         this.request.flushHeaders();
       }
       body.sendTo(this.request);
@@ -220,8 +232,8 @@
   }
 
   /**
-   * A reset that arrives together with the last bytes is reported as an orderly end. The two are told
-   * apart by the peer's address, which a socket that was reset no longer has.
+   * Detects a reset that arrives together with the last bytes and is reported as an orderly end:
+   * unlike after an orderly end, the socket no longer has a remote address.
    */
   private detectReset(socket: Socket): void {
     socket.prependOnceListener('end', () => {
@@ -246,7 +258,10 @@
   }
 }
 
-/** An answer that ends with its connection can't be told from a truncated one. */
+/**
+ * Whether truncation can be detected: a response delimited by the end of its connection can't be
+ * distinguished from a truncated one.
+ */
 function hasVerifiableEnd(method: string, message: http.IncomingMessage): boolean {
   const status = message.statusCode ?? 0;
   const hasNoBody = method === 'HEAD' || status === 204 || status === 304;
--- a/src/proxy/process-exit-detector.ts
+++ b/src/proxy/loss-judge.ts
@@ -1,58 +1,66 @@
 /**
- * Tells the end of an endpoint's process from the loss of single connections. A process that ends takes all
- * its connections with it, and nothing listens at its address any more; after a reset, a cut link, a silent
- * connection or a refusal for lack of room at least one of these does not hold.
+ * Distinguishes the exit of an endpoint's process from the loss of individual connections. When a
+ * process exits, all of its connections close and nothing listens at its address any more. After a
+ * reset, a network failure, an unresponsive connection or a refusal for lack of capacity, at least
+ * one of these conditions does not hold.
  */
 import type { CancelTimer } from './scheduler.js';
 
 /**
- * Time in which the connections of a process that has ended are reported one after the other, in
- * milliseconds: those of one that had nine requests at work came within 1.4 ms.
+ * Time for which losses are collected before they are evaluated, in milliseconds. The connections
+ * of an exited process are reported one after the other: those of a process with nine requests in
+ * progress were reported within 1.4 ms.
  */
 const LOSS_COLLECTION_MS = 5;
 /**
- * Time after a loss of all connections in which the news that the endpoint has started again tells that its
- * process had ended, in milliseconds. A process that is back before the probe would else end under one
- * request again and again, and nobody would be blamed; news of a start comes within a second or two.
+ * Time after the loss of all connections in which a report that the endpoint has restarted proves
+ * that its process had exited, in milliseconds. Without this period, a process that restarts before
+ * the probe could exit under the same request again and again without the request being held
+ * responsible. Reports of a restart arrive within one or two seconds.
  */
 const RESTART_REPORT_TIMEOUT_MS = 3_000;
 
-/** A request at the endpoint. */
+/** A request that was sent to the endpoint. */
 export interface EndpointRequest {
-  /** Whether its connection is open and its answer awaited. */
+  /** Whether its connection is open and its response is awaited. */
   isConnected(): boolean;
 }
 
-/** What the judge needs of the endpoint's gate. */
+/** Dependencies of the detector, provided by the endpoint's gate. */
 export interface ProcessExitDetectorOptions<R extends EndpointRequest> {
-  /** Requests that the endpoint has got and may be at work on, the latest first. */
+  /** Requests that the endpoint has received and may be processing, latest first. */
   readonly inProgress: () => readonly R[];
   readonly probeListening: (report: (isListening: boolean | undefined) => void) => void;
   readonly schedule: (delayMs: number, action: () => void) => CancelTimer;
-  /** The process ended while it was at work on these, the latest first. */
+  /** Called when the process exited while processing `requests`, which are ordered latest first. */
   readonly onExit: (requests: readonly R[]) => void;
 }
 
-/** One loss or several that are looked at together. */
+/** One or more losses that are evaluated together. */
 interface LossCheck<R> {
-  /** What was at work at the first loss. */
+  /** Requests in progress at the first loss. */
   readonly inProgress: readonly R[];
   readonly lost: Set<R>;
   readonly answered: Set<R>;
   readonly callbacks: ((hasExited: boolean) => void)[];
 }
 
-/** The judge of one incarnation of an endpoint. */
+/** Detects the exit of the process of one incarnation of an endpoint. */
 export class ProcessExitDetector<R extends EndpointRequest> {
   private currentCheck: LossCheck<R> | undefined;
-  /** What was at work when all connections were lost though something listens. */
+  /**
+   * Requests that were in progress when all connections were lost although a process was listening.
+   */
   private unexplainedLoss: readonly R[] | undefined;
-  /** Whether the endpoint is known to have started again since. */
+  /** Whether the endpoint is known to have restarted since this incarnation. */
   private hasRestarted = false;
 
   constructor(private readonly options: ProcessExitDetectorOptions<R>) {}
 
-  /** The connection of `work` was lost; `report` gets, soon, whether the process ended. */
+  /**
+   * Handles the loss of the connection of `request`; `report` soon receives whether the process
+   * exited.
+   */
   connectionLost(request: R, report: (hasExited: boolean) => void): void {
     if (this.currentCheck === undefined) {
       const others = this.options.inProgress().filter((one) => one !== request);
@@ -68,12 +76,15 @@
     this.currentCheck.callbacks.push(report);
   }
 
-  /** The endpoint answered in whole. */
+  /** Records that the request received a complete response. */
   answered(request: R): void {
     this.currentCheck?.answered.add(request);
   }
 
-  /** The endpoint has started again: the process that is judged here has ended, whatever listens. */
+  /**
+   * Records that the endpoint has restarted: the process of this incarnation has exited, even if
+   * another one is listening.
+   */
   endpointRestarted(): void {
     const { unexplainedLoss } = this;
     this.hasRestarted = true;
--- a/src/proxy/malformed-request.ts
+++ b/src/proxy/malformed-request.ts
@@ -1,38 +1,40 @@
-/** Answers what callers send that is no request, and closes their connections. */
+/** Responds to malformed requests from callers and closes their connections. */
 import http from 'node:http';
 import type { Duplex } from 'node:stream';
 import { VERDICT_HEADER } from '../model/verdict.js';
 import type { CallerConnections } from './caller-connections.js';
 import { errorBody } from './caller-protocol.js';
 
-/** Time for which a caller may read what it was told whose bytes were no request, in milliseconds. */
+/** Time for which a caller may read the response to a malformed request, in milliseconds. */
 const MALFORMED_LINGER_MS = 500;
 /** Codes of the errors that Node's HTTP parser reports. */
 const PARSER_CODE_PATTERN = /^HPE_/;
-/** A head that has not arrived in time. */
+/** The request head did not arrive in time. */
 const REQUEST_TIMEOUT_CODE = 'ERR_HTTP_REQUEST_TIMEOUT';
-/** The caller ended its side within a request. */
+/** The caller closed its side of the connection within a request. */
 const UNEXPECTED_EOF_CODE = 'HPE_INVALID_EOF_STATE';
 
-/** Takes an error of a connection, be it of the parser or of the socket. */
+/** Handles an error of a connection, reported by the parser or by the socket. */
 export type ConnectionErrorListener = (error: NodeJS.ErrnoException, socket: Duplex) => void;
 
 /**
- * Makes the listener for the errors of a server's connections. Requests that were read before are
- * answered first: the connection would close under them, and their callers would take the error for
- * their answer. Each has a deadline, which bounds the wait.
+ * Creates the listener for errors of a server's connections. Requests that were read before the
+ * error are answered first: otherwise the connection would be closed before their responses, and
+ * their callers would mistake the error for the response. Each request has a deadline, which bounds
+ * the wait.
  */
 export function createMalformedRequestListener(
   connections: CallerConnections,
 ): ConnectionErrorListener {
-  /** Connections whose first error has been taken. */
+  /** Connections whose first error has been handled. */
   const handled = new WeakSet<Duplex>();
   return ({ code = '' }, socket) => {
     if (hasNoRecipient(code, connections.hasOpenRequest(socket))) {
       socket.destroy();
       return;
     }
-    // The parser reports each further piece that arrives: a second answer would follow the first.
+    // The parser reports an error for each further chunk that arrives; a second response would
+    // follow the first.
     if (handled.has(socket)) {
       return;
     }
@@ -43,7 +45,8 @@
     }
     connections.closesAfterAnswer(socket);
     connections.onceAnswered(socket, () => {
-      // A request whose body is broken is still open: it would take the answer for its own.
+      // A request with a malformed body is still open; its caller would mistake the error for the
+      // response to it.
       if (!connections.hasOpenRequest(socket) && socket.writable) {
         socket.write(errorResponse(code));
       }
@@ -52,7 +55,10 @@
   };
 }
 
-/** Whether nobody is left to be told; who ends its side gets no answers to open requests either. */
+/**
+ * Whether no caller is left to respond to. A caller that closes its side gets no responses to open
+ * requests either.
+ */
 function hasNoRecipient(code: string, hasOpenRequest: boolean): boolean {
   const isProtocolError = PARSER_CODE_PATTERN.test(code) || code === REQUEST_TIMEOUT_CODE;
   return !isProtocolError || (code === UNEXPECTED_EOF_CODE && hasOpenRequest);
--- a/src/proxy/response-sink.ts
+++ b/src/proxy/response-sink.ts
@@ -1,14 +1,14 @@
 /**
- * An answer's way out as an HTTP response. One that comes behind others on its connection is kept here until its turn:
- * Node stops reading a connection while responses that wait for their turn hold more than a bound, and the time of what
- * its caller sends meanwhile would count from its reading.
+ * Sends an answer as an HTTP response. A pipelined response is buffered here until its turn: Node
+ * stops reading a connection while its queued responses hold more than a limit, and the time limits
+ * of requests that the caller sends meanwhile would only start when they are read.
  */
 import type { ServerResponse } from 'node:http';
 import type { AnswerSink } from './answer-relay.js';
 
 /**
- * Bytes of answers that wait for their turn on a connection before the sender of a body is asked to wait, and before
- * the next requests of the connection do.
+ * Number of buffered bytes of a connection at which the sender of a response body is paused and
+ * further requests of the connection are deferred.
  */
 export const MAX_BUFFERED_BYTES = 16 * 1024;
 
@@ -17,14 +17,14 @@
   readonly headers: string[];
 }
 
-/** Passes everything to a response of Node's once its turn has come. */
+/** Writes to a Node response once it is its turn on the connection. */
 export class ResponseSink implements AnswerSink {
   private bufferedHead: ResponseHead | undefined;
   private readonly bufferedChunks: Buffer[] = [];
   private hasBufferedEnd = false;
   private readonly drainListeners = new Set<() => void>();
 
-  /** `beforeHead` is called right before the head goes out. */
+  /** `beforeHead` is called immediately before the head is sent. */
   constructor(
     private readonly response: ServerResponse,
     private readonly beforeHead: () => void,
@@ -34,12 +34,12 @@
     }
   }
 
-  /** Whether the answer has begun, be it that it still waits for its turn. */
+  /** Whether the response has begun, even if it is still buffered. */
   get headersSent(): boolean {
     return this.bufferedHead !== undefined || this.response.headersSent;
   }
 
-  /** Bytes of the body that wait for their turn. */
+  /** Bytes of the body that are buffered until the response's turn. */
   get bufferedBytes(): number {
     return this.bufferedChunks.reduce((bytes, { length }) => bytes + length, 0);
   }
--- a/test/proxy/loss-judge.test.ts
+++ b/test/proxy/loss-judge.test.ts
@@ -1,9 +1,6 @@
 /** The end of a process against everything that looks like it. */
 import { expect } from 'chai';
-import {
-  ProcessExitDetector,
-  type EndpointRequest,
-} from '../../src/proxy/process-exit-detector.js';
+import { ProcessExitDetector, type EndpointRequest } from '../../src/proxy/loss-judge.js';
 
 class Work implements EndpointRequest {
   isOpen = true;
