--- a/src/proxy/idempotency-claims.ts
+++ b/src/proxy/idempotency-claims.ts
@@ -1,10 +1,10 @@
 /**
- * What the request path asks before it sends on a request that may not be repeated and has an
- * idempotency key: whether this is the key's first attempt.
+ * Claims that the request path makes before it forwards a non-repeatable request with an
+ * idempotency key, to find out whether this is the key's first attempt.
  */
 import type { ClaimOutcome } from '../claims/claim-command.js';
 
-/** One attempt at one key of one service. */
+/** An attempt under one idempotency key of one service. */
 export interface ClaimedAttempt {
   readonly service: string;
   readonly key: string;
@@ -16,8 +16,8 @@
 export interface IdempotencyClaims {
   /** Resolves within `CLAIM_ROUND_MS`; never rejects. */
   open(attempt: ClaimedAttempt): Promise<ClaimOutcome>;
-  /** The attempt ran. */
+  /** Records that the attempt ran. */
   finish(attempt: ClaimedAttempt): void;
-  /** The attempt is proved not to have run and never to run: the key is free again. */
+  /** Frees the key after an attempt that provably has not run and never will. */
   release(attempt: ClaimedAttempt): void;
 }
--- a/src/proxy/load-observation.ts
+++ b/src/proxy/load-observation.ts
@@ -1,9 +1,9 @@
-/** What a node learns of an endpoint's load from an answer or a refusal. */
+/** What a node learns about an endpoint's load from a response or a refusal. */
 import type { LoadObservation } from '../routing/endpoint-record.js';
 import type { LoadReport } from './call.js';
 import type { RequestError } from './request-error.js';
 
-/** The observation; undefined when neither tells anything of the load. */
+/** Returns undefined when neither `load` nor `error` contains load information. */
 export function loadObservationOf(
   load: LoadReport | undefined,
   error: RequestError | undefined,
--- a/src/proxy/proxy-limits.ts
+++ b/src/proxy/proxy-limits.ts
@@ -1,4 +1,4 @@
-/** Bounds of the request path, with defaults that fit small machines. */
+/** Limits of the request path, with defaults that suit small machines. */
 
 import { DEFAULT_QUEUED_PER_SLOT } from '../admission/endpoint-admission.js';
 import { DEFAULT_MAX_SAVED_RETRIES } from '../routing/retry-budget.js';
@@ -7,66 +7,79 @@
 import { MAX_COLLECTED_BODY_BYTES } from './relay/collected-body.js';
 import type { StopLimits } from './stop-times.js';
 
-/** Bounds that an operator may set. */
+/** Limits that an operator can set. */
 export interface ProxyLimits extends CancelLead, StopLimits {
   /** Largest request head, in bytes. */
   readonly maxHeaderBytes: number;
   /** Largest request body, in bytes. */
   readonly maxBodyBytes: number;
-  /** Largest request body that is held so that it can be sent again, in bytes. */
+  /** Largest request body that is buffered so that it can be sent again, in bytes. */
   readonly maxReplayBodyBytes: number;
-  /** Bytes of request bodies held by the node in all. */
+  /** Maximum number of bytes of request bodies that the node buffers in total. */
   readonly maxHeldBytes: number;
-  /** Largest answer that is held until it is whole before its first byte goes out, in bytes. */
+  /** Largest response that is buffered completely before its first byte is sent, in bytes. */
   readonly maxHeldAnswerBytes: number;
-  /** Requests that wait for one endpoint at most. */
+  /** Maximum number of requests that wait for one endpoint. */
   readonly maxQueuedPerEndpoint: number;
-  /** The same, for each slot of the endpoint. */
+  /** Maximum number of requests that wait for one endpoint, per slot of the endpoint. */
   readonly maxQueuedPerSlot: number;
-  /** Time without a byte of an answer's body after which it is given up, in milliseconds. */
+  /**
+   * Time without a byte of a response body after which the exchange is aborted, in milliseconds.
+   */
   readonly answerIdleTimeoutMs: number;
-  /** Callers' requests in flight at once; more are refused. */
+  /** Maximum number of callers' requests in flight; further requests are refused. */
   readonly maxCallsInFlight: number;
-  /** Attempts after the first for one request at most. */
+  /** Maximum number of attempts after the first for one request. */
   readonly maxRetries: number;
-  /** Attempts after one that did not reach its endpoint, besides the retries. */
+  /**
+   * Maximum number of attempts after ones that did not reach their endpoint, besides the retries.
+   */
   readonly maxRedirects: number;
   /**
-   * Attempts after one at an endpoint that is absent, besides the others. They add to nobody's
-   * load: with one allowance for these and for full endpoints, 883 of 1,312 errors in ten seconds in which
-   * three of four endpoints had ended were told to requests that had run nowhere, most with a second left.
+   * Maximum number of attempts after ones at absent endpoints, besides the retries and redirects.
+   * They add no load to any endpoint. When absent and full endpoints shared one allowance, 883 of
+   * 1,312 errors in the ten seconds in which three of four endpoints had ended were returned for
+   * requests that had not run anywhere, most of them with a second left.
    */
   readonly maxAbsentRedirects: number;
   /**
-   * Such attempts that a request has left at least when it turns late, `maxRedirects` at most: without
-   * one, a request that spent its attempts on nodes that could not answer within its target fails beside
-   * endpoints with free slots.
+   * Minimum number of redirects that a request has left when it misses its target latency, limited
+   * to `maxRedirects`. Without one, a request that spent its attempts on nodes that could not
+   * answer within its target fails although other endpoints have free slots.
    */
   readonly maxLateRedirects: number;
-  /** Whether a repeatable request is sent again after an answer that reports the endpoint's fault. */
+  /**
+   * Whether a repeatable request is retried after a response that reports a fault of the endpoint.
+   */
   readonly retriesFaults: boolean;
-  /** Retries towards one service that may be saved up for a burst. */
+  /** Maximum number of retries towards one service that can be saved for a burst. */
   readonly maxSavedRetries: number;
-  /** The same for all nodes together; each may save up its share. Unbounded when absent. */
+  /**
+   * Maximum number of retries towards one service that all nodes together can save, each its share;
+   * unlimited when absent.
+   */
   readonly fleetSavedRetries?: number;
-  /** Time for which an idle connection to an endpoint is kept, in milliseconds. */
+  /** Time after which an idle connection to an endpoint is closed, in milliseconds. */
   readonly maxIdleEndpointConnectionMs: number;
-  /** Time to open a connection, in milliseconds. */
+  /** Timeout for establishing a connection, in milliseconds. */
   readonly connectTimeoutMs: number;
-  /** Time that callers need to notice a planned stop, in milliseconds; no stop ends before. */
+  /** Time that callers need to notice a planned stop, in milliseconds; no stop ends before it. */
   readonly stopNoticeMs: number;
-  /** Time without a new request after which a planned stop is over, in milliseconds. */
+  /** Time without a new request after which a planned stop ends early, in milliseconds. */
   readonly stopQuietMs: number;
-  /** Lateness of the process by which a planned stop ends earlier, at most, in milliseconds; none when absent. */
+  /**
+   * Maximum event loop lag by which a planned stop ends earlier, in milliseconds; 0 when absent.
+   */
   readonly maxEventLoopLagMs?: number;
 }
 
-/** Bounds where settings name none. */
+/** Limits used where the settings specify none. */
 export const DEFAULT_PROXY_LIMITS: ProxyLimits = {
   maxHeaderBytes: 16 * 1024,
   maxBodyBytes: 64 * 1024 * 1024,
-  // What another node collects is sent at its pace, not at that of a slow caller, and a caller that leaves
-  // is noticed: nothing reads the connection of one whose body waits unread.
+  // A body that another node buffers completely is buffered here first. It is then sent at the pace
+  // of that node instead of a slow caller's, and a caller that disconnects is detected: a
+  // connection whose request body is left unread is not read at all.
   maxReplayBodyBytes: MAX_COLLECTED_BODY_BYTES,
   maxHeldBytes: 32 * 1024 * 1024,
   maxHeldAnswerBytes: 16 * 1024,
--- a/src/proxy/route-credential.ts
+++ b/src/proxy/route-credential.ts
@@ -1,8 +1,8 @@
-/** The credential that a route adds to its requests, from a secret. */
+/** The credential that a route adds to its requests, taken from a secret. */
 import type { Snapshot } from '../model/snapshot.js';
 import type { RouteMatch } from '../routing/route-table.js';
 
-/** Adds the route's credential, in place of one that the caller sent. */
+/** Adds the route's credential and removes one that the caller sent. */
 export function withCredential(
   headers: readonly string[],
   match: RouteMatch,
--- a/src/proxy/scheduler.ts
+++ b/src/proxy/scheduler.ts
@@ -1,4 +1,7 @@
-/** Time for the request path: the machine's in the product, a virtual one under the fuzzer. */
+/**
+ * Time source of the request path: the machine's clock in production, a virtual clock in the
+ * fuzzer.
+ */
 import { MACHINE_CLOCK } from '../clock/machine-clock.js';
 import { SuspendableTimers } from '../clock/suspendable-timers.js';
 
@@ -6,17 +9,20 @@
 export interface Scheduler {
   /** Milliseconds on a monotonic clock. */
   now(): number;
-  /** Runs `action` after `delayMs`, at once when that is not positive; returns what cancels it. */
+  /**
+   * Runs `action` after `delayMs`, or as soon as possible if that is not positive; returns a
+   * function that cancels the timer.
+   */
   schedule(delayMs: number, action: () => void): CancelTimer;
 }
 
-/** Cancels a timer; nothing happens when it has run. */
+/** Cancels a timer; has no effect once the timer has run. */
 export type CancelTimer = () => void;
 
 const MACHINE_TIMERS = new SuspendableTimers(() => MACHINE_CLOCK.now());
 MACHINE_CLOCK.onSuspension(() => MACHINE_TIMERS.setAnew());
 
-/** The machine's time. */
+/** The clock and timers of the machine. */
 export const MACHINE_TIME: Scheduler = {
   now: () => MACHINE_CLOCK.now(),
   schedule: (delayMs, action) => MACHINE_TIMERS.schedule(delayMs, action),
