--- a/src/proxy/response-sink.ts
+++ b/src/proxy/response-sink.ts
@@ -1,77 +1,77 @@
 /**
- * An answer's way out as an HTTP response. One that comes behind others on its connection is kept here until its turn:
- * Node stops reading a connection while responses that wait for their turn hold more than a bound, and the time of what
- * its caller sends meanwhile would count from its reading.
+ * Sends an answer as an HTTP response. A pipelined response is buffered here until its turn: Node
+ * stops reading a connection while its queued responses hold more than a limit, and the time limits
+ * of requests that the caller sends meanwhile would only start when they are read.
  */
 import type { ServerResponse } from 'node:http';
 import type { AnswerSink } from './answer-relay.js';
 
 /**
- * Bytes of answers that wait for their turn on a connection before the sender of a body is asked to wait, and before
- * the next requests of the connection do.
+ * Number of buffered bytes of a connection at which the sender of a response body is paused and
+ * further requests of the connection are deferred.
  */
-export const MAX_WAITING_BYTES = 16 * 1024;
+export const MAX_BUFFERED_BYTES = 16 * 1024;
 
 interface ResponseHead {
   readonly status: number;
   readonly headers: string[];
 }
 
-/** Passes everything to a response of Node's once its turn has come. */
+/** Writes to a Node response once it is its turn on the connection. */
 export class ResponseSink implements AnswerSink {
-  private waitingHead: ResponseHead | undefined;
-  private readonly waitingChunks: Buffer[] = [];
-  private isWaitingEnded = false;
+  private bufferedHead: ResponseHead | undefined;
+  private readonly bufferedChunks: Buffer[] = [];
+  private hasBufferedEnd = false;
   private readonly drainListeners = new Set<() => void>();
 
-  /** `beforeHead` is called right before the head goes out. */
+  /** `beforeHead` is called immediately before the head is sent. */
   constructor(
     private readonly response: ServerResponse,
     private readonly beforeHead: () => void,
   ) {
     if (response.socket === null) {
-      response.once('socket', () => this.takeTurn());
+      response.once('socket', () => this.flushBuffered());
     }
   }
 
-  /** Whether the answer has begun, be it that it still waits for its turn. */
+  /** Whether the response has begun, even if it is still buffered. */
   get headersSent(): boolean {
-    return this.waitingHead !== undefined || this.response.headersSent;
+    return this.bufferedHead !== undefined || this.response.headersSent;
   }
 
-  /** Bytes of the body that wait for their turn. */
-  get waitingBytes(): number {
-    return this.waitingChunks.reduce((bytes, { length }) => bytes + length, 0);
+  /** Bytes of the body that are buffered until the response's turn. */
+  get bufferedBytes(): number {
+    return this.bufferedChunks.reduce((bytes, { length }) => bytes + length, 0);
   }
 
   writeHead(status: number, headers: string[], contentLength: number | undefined): void {
     if (contentLength !== undefined) {
       headers.push('Content-Length', String(contentLength));
     }
-    if (this.isTurn) {
+    if (this.hasSocket) {
       this.sendHead({ status, headers });
     } else {
-      this.waitingHead = { status, headers };
+      this.bufferedHead = { status, headers };
     }
   }
 
   write(chunk: Buffer): boolean {
-    if (this.isTurn) {
+    if (this.hasSocket) {
       return this.response.write(chunk);
     }
-    this.waitingChunks.push(chunk);
-    return this.waitingBytes < MAX_WAITING_BYTES;
+    this.bufferedChunks.push(chunk);
+    return this.bufferedBytes < MAX_BUFFERED_BYTES;
   }
 
   end(chunk?: Buffer): void {
-    if (this.isTurn) {
+    if (this.hasSocket) {
       this.response.end(chunk);
       return;
     }
     if (chunk !== undefined) {
-      this.waitingChunks.push(chunk);
+      this.bufferedChunks.push(chunk);
     }
-    this.isWaitingEnded = true;
+    this.hasBufferedEnd = true;
   }
 
   on(event: 'drain', listener: () => void): void {
@@ -84,7 +84,7 @@
     this.response.off(event, listener);
   }
 
-  private get isTurn(): boolean {
+  private get hasSocket(): boolean {
     return this.response.socket !== null;
   }
 
@@ -93,13 +93,13 @@
     this.response.writeHead(status, headers);
   }
 
-  private takeTurn(): void {
-    if (this.waitingHead === undefined) {
+  private flushBuffered(): void {
+    if (this.bufferedHead === undefined) {
       return;
     }
-    const chunks = this.waitingChunks.splice(0);
-    this.sendHead(this.waitingHead);
-    if (this.isWaitingEnded) {
+    const chunks = this.bufferedChunks.splice(0);
+    this.sendHead(this.bufferedHead);
+    if (this.hasBufferedEnd) {
       this.response.end(chunks.length === 1 ? chunks[0] : Buffer.concat(chunks));
       return;
     }
