--- a/src/containment/request-fingerprint.ts
+++ b/src/containment/request-fingerprint.ts
@@ -6,7 +6,7 @@
 import { isIP } from 'node:net';
 import { cryptography } from '../model/cryptography.js';
 import { headerValue, type HeaderList } from '../proxy/headers.js';
-import { HeldBody, type RequestBody } from '../proxy/request-body.js';
+import { BufferedBody, type RequestBody } from '../proxy/request-body.js';
 
 /** Hexadecimal digits of a digest of a request's head, and of one of its body. */
 const PART_DIGITS = 16;
@@ -90,7 +90,7 @@
  * such bodies are taken for the same one, and one of them that is answered clears them all.
  */
 function bodyOf(body: RequestBody): readonly (string | Buffer)[] {
-  return body instanceof HeldBody ? ['held', body.bytes] : [`passed on ${body.length ?? ''}`];
+  return body instanceof BufferedBody ? ['held', body.bytes] : [`passed on ${body.length ?? ''}`];
 }
 
 function digestOf(parts: readonly (string | Buffer)[]): string {
--- a/src/proxy/awaited-peer.ts
+++ b/src/proxy/awaited-peer.ts
@@ -29,7 +29,7 @@
   /** The peer answered, if only with a refusal. */
   hasAnswered(): void {
     if (this.machineId !== undefined) {
-      this.services.heard(this.machineId);
+      this.services.recordResponse(this.machineId);
     }
     this.stop();
   }
--- a/src/proxy/body-receiver.ts
+++ b/src/proxy/body-receiver.ts
@@ -1,7 +1,7 @@
 /** Receives a caller's request body: small ones whole, so that they can be sent again. */
 import type { IncomingMessage } from 'node:http';
 import type { ProxyLimits } from './proxy-limits.js';
-import { EMPTY_BODY, HeldBody, StreamedBody, type RequestBody } from './request-body.js';
+import { EMPTY_BODY, BufferedBody, StreamedBody, type RequestBody } from './request-body.js';
 import { BodyTooLargeError } from './request-error.js';
 
 /** Bytes of bodies that the node holds in all. */
@@ -41,7 +41,7 @@
   const length = declaredLength(request);
   if (length === 0) {
     const isDeclared = request.headers['content-length'] !== undefined;
-    consume(isDeclared ? new HeldBody(Buffer.alloc(0)) : EMPTY_BODY);
+    consume(isDeclared ? new BufferedBody(Buffer.alloc(0)) : EMPTY_BODY);
     return () => undefined;
   }
   if (length !== undefined && length > limits.maxBodyBytes) {
@@ -86,7 +86,7 @@
   };
   const finish = (): void => {
     const [first] = chunks;
-    consume(new HeldBody(chunks.length === 1 && first ? first : Buffer.concat(chunks)));
+    consume(new BufferedBody(chunks.length === 1 && first ? first : Buffer.concat(chunks)));
   };
   request.on('data', take);
   request.once('end', finish);
--- a/src/proxy/endpoint-gate.ts
+++ b/src/proxy/endpoint-gate.ts
@@ -20,7 +20,7 @@
 import { GatedCall, type CallGate, type CancelLead } from './gated-call.js';
 import { LossJudge } from './loss-judge.js';
 import type { RequestError } from './request-error.js';
-import { namedFingerprint, type RequestLog } from './request-log.js';
+import { fingerprintField, type RequestLog } from './request-log.js';
 import type { CancelTimer, Scheduler } from './scheduler.js';
 
 /** What gates share. */
@@ -356,7 +356,7 @@
         deadlineLeftMs: Math.round(call.deadlineAtMs - nowMs),
         startLeftMs: Math.round(this.admission.latestStartAtMs(call, nowMs) - nowMs),
         travelLostMs: Math.round(call.travelLostMs ?? 0),
-        ...namedFingerprint(reason, () => this.containment.fingerprintOf(call)),
+        ...fingerprintField(reason, () => this.containment.fingerprintOf(call)),
       }),
       running: this.admission.runningCount,
       waiting: this.admission.waitingCount,
@@ -370,7 +370,7 @@
       request: call.requestId,
       endpoint: this.endpoint.name,
       code,
-      ...namedFingerprint(code, () => this.containment.fingerprintOf(call)),
+      ...fingerprintField(code, () => this.containment.fingerprintOf(call)),
       elapsedMs: Math.round(elapsedMs),
       detail,
       running: this.admission.runningCount,
--- a/src/proxy/http-exchange.ts
+++ b/src/proxy/http-exchange.ts
@@ -184,7 +184,7 @@
   private send(body: RequestBody): void {
     if (!this.request.destroyed) {
       this.connected = true;
-      if (!body.isWhole()) {
+      if (!body.isComplete()) {
         // A head that waits for the body's first bytes would promise the endpoint time that is over by then.
         this.request.flushHeaders();
       }
--- a/src/proxy/relay/collected-body.ts
+++ b/src/proxy/relay/collected-body.ts
@@ -1,5 +1,5 @@
 /** Collects the body of a relayed request, so that its endpoint is busy with it only once it is whole. */
-import { HeldBody } from '../request-body.js';
+import { BufferedBody } from '../request-body.js';
 import type { RelayBodyReader } from './relay-body.js';
 
 /**
@@ -17,8 +17,8 @@
 }
 
 /** Calls `take` once the body is whole; not at all when it breaks off. */
-export function collectBody(reader: RelayBodyReader, take: (body: HeldBody) => void): void {
+export function collectBody(reader: RelayBodyReader, take: (body: BufferedBody) => void): void {
   const chunks: Buffer[] = [];
   reader.on('data', (chunk: Buffer) => chunks.push(chunk));
-  reader.once('end', () => take(new HeldBody(Buffer.concat(chunks))));
+  reader.once('end', () => take(new BufferedBody(Buffer.concat(chunks))));
 }
--- a/src/proxy/relay/relayed-attempt.ts
+++ b/src/proxy/relay/relayed-attempt.ts
@@ -1,7 +1,7 @@
 /** One attempt of this node at the node of an endpoint. */
 import type { Endpoint } from '../../model/resource.js';
 import type { Answer, AnswerBody, Attempt, AttemptObserver, Call } from '../call.js';
-import { HeldBody, type RequestBody } from '../request-body.js';
+import { BufferedBody, type RequestBody } from '../request-body.js';
 import {
   BadRequestError,
   ConnectionLostError,
@@ -254,7 +254,7 @@
 
 /** The body, where it goes with the head; undefined where it waits for credit. */
 function inlineBytesOf(body: RequestBody): Buffer | undefined {
-  const isInline = body instanceof HeldBody && body.length <= MAX_INLINE_BODY_BYTES;
+  const isInline = body instanceof BufferedBody && body.length <= MAX_INLINE_BODY_BYTES;
   return isInline ? body.bytes : undefined;
 }
 
--- a/src/proxy/relay/relayed-request.ts
+++ b/src/proxy/relay/relayed-request.ts
@@ -3,10 +3,10 @@
 import type { Endpoint } from '../../model/resource.js';
 import { passAnswer } from '../answer-relay.js';
 import type { Answer, Attempt, AttemptObserver, Call, EndpointPath, LoadReport } from '../call.js';
-import { EMPTY_BODY, HeldBody, StreamedBody, type RequestBody } from '../request-body.js';
+import { EMPTY_BODY, BufferedBody, StreamedBody, type RequestBody } from '../request-body.js';
 import { refusalLeadMs } from '../refusal-lead.js';
 import { DeadlinePassedError, TruncatedAnswerError, type RequestError } from '../request-error.js';
-import type { AbandonCause, AwaitedThing, RequestLog } from '../request-log.js';
+import type { AbandonCause, AwaitedResource, RequestLog } from '../request-log.js';
 import { rankInTime } from '../../admission/work-rank.js';
 import { stopFailure } from '../stop-failure.js';
 import type { CancelTimer, Scheduler } from '../scheduler.js';
@@ -154,8 +154,8 @@
     return true;
   }
 
-  private awaitedThing(isUnsent: boolean): AwaitedThing {
-    if (!this.body.isWhole()) {
+  private awaitedThing(isUnsent: boolean): AwaitedResource {
+    if (!this.body.isComplete()) {
       return 'body';
     }
     return isUnsent ? 'slot' : 'endpoint';
@@ -284,5 +284,5 @@
     const length = bodyForm === 'sized' ? bodyBytes : undefined;
     return new StreamedBody(reader, length, [], maxBodyBytes);
   }
-  return bodyForm === 'held' ? new HeldBody(bytes) : EMPTY_BODY;
+  return bodyForm === 'held' ? new BufferedBody(bytes) : EMPTY_BODY;
 }
--- a/src/proxy/request-attempt.ts
+++ b/src/proxy/request-attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt of a caller's request: its endpoint, the peer that owes its answer, and the answer. */
+/** One attempt of a caller's request: its endpoint, the peer expected to answer, and the answer. */
 import type { Endpoint } from '../model/resource.js';
 import type { AttemptOutcome } from '../routing/endpoint-record.js';
 import { AttemptedEndpoint } from './attempted-endpoint.js';
@@ -8,21 +8,20 @@
 import type { RequestContext } from './request-context.js';
 import type { RequestError } from './request-error.js';
 
-/** The attempt. */
 export class RequestAttempt implements AwaitedAttempt {
   readonly endpoint: AttemptedEndpoint;
   answer: Answer | undefined;
-  /** Why its answer was last in doubt; undefined where it never was. */
-  sign: SilenceSign | undefined;
+  /** Cause of the latest suspicion; undefined if the attempt was never suspected. */
+  suspicion: SilenceSign | undefined;
   private readonly peer: AwaitedPeer;
-  private submitted: Attempt | undefined;
+  private submission: Attempt | undefined;
 
-  /** `onSilence` is told each time the answer is in doubt. */
+  /** `onSuspected` is called each time the attempt becomes suspect: its answer may not arrive. */
   constructor(
     readonly number: number,
     context: RequestContext,
     endpoint: Endpoint,
-    private readonly onSilence: (attempt: RequestAttempt) => void,
+    private readonly onSuspected: (attempt: RequestAttempt) => void,
   ) {
     this.endpoint = new AttemptedEndpoint(context);
     this.endpoint.began(endpoint);
@@ -30,58 +29,57 @@
     this.peer.awaitFor(endpoint, this.endpoint.startedAtMs);
   }
 
-  /** Whether the node beside the endpoint owes the answer. */
+  /** Whether the answer is awaited from a peer: the node that owns the endpoint. */
   get isPeerAwaited(): boolean {
     return this.peer.isAwaited;
   }
 
-  /** The attempt is on its way. */
-  wasSubmitted(submitted: Attempt): void {
-    this.submitted = submitted;
+  setSubmission(submission: Attempt): void {
+    this.submission = submission;
   }
 
   isUnsent(): boolean {
-    return this.submitted?.isUnsent() === true;
+    return this.submission?.isUnsent() === true;
   }
 
   peerIsSilent(): void {
-    this.suspected({ silent: 'peer' });
+    this.markSuspected({ silent: 'peer' });
   }
 
-  /** An answer that has begun shows that the way works. */
-  suspected(sign: SilenceSign): void {
+  /** Has no effect once an answer has started to arrive, since that shows that the path works. */
+  markSuspected(suspicion: SilenceSign): void {
     if (this.answer === undefined) {
-      this.sign = sign;
-      this.onSilence(this);
+      this.suspicion = suspicion;
+      this.onSuspected(this);
     }
   }
 
-  answered(answer: Answer): void {
+  recordAnswer(answer: Answer): void {
     this.answer = answer;
     this.peer.hasAnswered();
     this.endpoint.observeLoad(answer.load, undefined);
   }
 
-  failed(error: RequestError, load: LoadReport | undefined): void {
+  recordFailure(error: RequestError, load: LoadReport | undefined): void {
     this.endpoint.observeLoad(load, error);
     if (load !== undefined) {
       this.peer.hasAnswered();
     }
   }
 
-  /** Gives the attempt up; an endpoint that let the deadline pass has failed. */
+  /** Cancels the attempt. If `isExpired` and no answer has arrived, the endpoint is recorded as failed. */
   abort(isExpired: boolean): void {
-    this.submitted?.abort();
-    const unanswered = isExpired ? 'failed' : 'abandoned';
-    this.ended(this.answer === undefined ? unanswered : 'answered');
+    this.submission?.abort();
+    const unansweredOutcome = isExpired ? 'failed' : 'abandoned';
+    this.end(this.answer === undefined ? unansweredOutcome : 'answered');
   }
 
-  /** Nobody waits for the answer's peer any more. */
-  stopAwaiting(): void {
+  /** Stops awaiting the peer without ending the attempt. */
+  stopAwaitingPeer(): void {
     this.peer.stop();
   }
 
-  ended(outcome: AttemptOutcome): void {
+  end(outcome: AttemptOutcome): void {
     this.peer.stop();
     this.endpoint.ended(outcome);
   }
--- a/src/proxy/request-body.ts
+++ b/src/proxy/request-body.ts
@@ -1,42 +1,41 @@
-/** A request body: held whole where it is small, so that it can be sent again, else streamed once. */
+/** Request bodies: small ones are buffered so that they can be sent again, others are streamed once. */
 import type { Readable, Writable } from 'node:stream';
 
-/** A body that attempts send on. */
+/** A request body that attempts send to endpoints. */
 export interface RequestBody {
-  /** Length in bytes where it is known; undefined for a chunked body; 0 for none. */
+  /** Length in bytes; undefined for a chunked body, 0 if there is no body. */
   readonly length: number | undefined;
-  /** Whether the message declares a body, even an empty one. */
+  /** Whether the request declares a body, even an empty one. */
   readonly isDeclared: boolean;
-  /** Whether several attempts may send it at once. */
-  readonly isHeld: boolean;
-  /** Whether the body can still be sent in whole. */
+  /** Whether several attempts can send the body concurrently. */
+  readonly isBuffered: boolean;
+  /** Whether the complete body can still be sent. */
   isReplayable(): boolean;
-  /** Whether it has arrived in full. */
-  isWhole(): boolean;
-  /** Writes the body and ends `destination`; destroys it when the sender fails. */
+  /** Whether the body has been received in full. */
+  isComplete(): boolean;
+  /** Writes the body and ends `destination`; destroys it if the body is cut short. */
   sendTo(destination: Writable): void;
 }
 
-/** Where a streamed body comes from; Node's `IncomingMessage` is one. */
+/** Source of a streamed body, such as Node's `IncomingMessage`. */
 export interface BodySource extends Readable {
-  /** Whether the body arrived in full. */
+  /** Whether the source has received the body in full. */
   readonly complete: boolean;
 }
 
-/** No body. */
 export const EMPTY_BODY: RequestBody = {
   length: 0,
   isDeclared: false,
-  isHeld: true,
+  isBuffered: true,
   isReplayable: () => true,
-  isWhole: () => true,
+  isComplete: () => true,
   sendTo: (destination) => destination.end(),
 };
 
-/** A body that is held whole. */
-export class HeldBody implements RequestBody {
+/** A body that is held in memory. */
+export class BufferedBody implements RequestBody {
   readonly isDeclared = true;
-  readonly isHeld = true;
+  readonly isBuffered = true;
   readonly length: number;
 
   constructor(readonly bytes: Buffer) {
@@ -47,7 +46,7 @@
     return true;
   }
 
-  isWhole(): boolean {
+  isComplete(): boolean {
     return true;
   }
 
@@ -56,17 +55,17 @@
   }
 }
 
-/** A body passed on as it arrives, with back-pressure; it can be sent only once. */
+/** A body that is forwarded as it arrives, with backpressure; it can be sent only once. */
 export class StreamedBody implements RequestBody {
   readonly isDeclared = true;
-  readonly isHeld = false;
+  readonly isBuffered = false;
   private wasSent = false;
 
-  /** `received` is what was already read of `source`; `maxBytes` bounds the whole body. */
+  /** `receivedChunks` were already read from `source`; `maxBytes` limits the complete body, including them. */
   constructor(
     private readonly source: BodySource,
     readonly length: number | undefined,
-    private readonly received: readonly Buffer[],
+    private readonly receivedChunks: readonly Buffer[],
     private readonly maxBytes: number,
   ) {}
 
@@ -74,23 +73,23 @@
     return !this.wasSent;
   }
 
-  isWhole(): boolean {
+  isComplete(): boolean {
     return this.source.complete;
   }
 
   sendTo(destination: Writable): void {
     this.wasSent = true;
     const { source } = this;
-    let passedBytes = 0;
-    const pass = (chunk: Buffer): void => {
-      passedBytes += chunk.length;
-      if (passedBytes > this.maxBytes) {
+    let forwardedBytes = 0;
+    const forward = (chunk: Buffer): void => {
+      forwardedBytes += chunk.length;
+      if (forwardedBytes > this.maxBytes) {
         destination.destroy();
       } else if (!destination.write(chunk)) {
         source.pause();
       }
     };
-    source.on('data', pass);
+    source.on('data', forward);
     source.on('end', () => destination.end());
     source.on('close', () => {
       if (!source.complete) {
@@ -99,10 +98,10 @@
     });
     destination.on('drain', () => source.resume());
     destination.on('close', () => {
-      source.off('data', pass);
+      source.off('data', forward);
       source.resume();
     });
-    this.received.forEach(pass);
+    this.receivedChunks.forEach(forward);
     source.resume();
   }
 }
--- a/src/proxy/request-context.ts
+++ b/src/proxy/request-context.ts
@@ -1,4 +1,4 @@
-/** What one caller's request is run with, and the way back to its caller. */
+/** Input of one caller's request, and the interface for replying to its caller. */
 import type { Snapshot } from '../model/snapshot.js';
 import type { Verdict } from '../model/verdict.js';
 import type { RouteMatch } from '../routing/route-table.js';
@@ -9,37 +9,41 @@
 import type { RequestError } from './request-error.js';
 import type { RequestServices } from './request-services.js';
 
-/** The caller's side of a request. */
+/** Sends the reply to a request's caller. */
 export interface CallerReply {
-  /** Passes an endpoint's answer on; holds it whole where it has up to `holdBytes`. */
-  answer(answer: Answer, requestId: string, holdBytes: number, observer: AnswerObserver): void;
-  /** Whether a part of an answer went out. */
+  /** Forwards an endpoint's answer; one of up to `maxBufferedBytes` is buffered in full first. */
+  answer(
+    answer: Answer,
+    requestId: string,
+    maxBufferedBytes: number,
+    observer: AnswerObserver,
+  ): void;
+  /** Whether any part of an answer has been sent. */
   hasBegun(): boolean;
-  /** Reports an error. */
+  /** Replies with an error. */
   fail(error: RequestError, verdict: Verdict, requestId: string): void;
-  /** Breaks the connection, so that the caller can't take the answer for a whole one. */
+  /** Breaks the connection, so that the caller can't mistake a partial answer for a complete one. */
   breakConnection(): void;
-  /** Calls `action` once the exchange is over; `isWhole` when the answer went out in full, `reason` says why not. */
-  onClose(action: (isWhole: boolean, reason?: ConnectionEndReason) => void): void;
+  /** Calls `action` once the exchange is over: `isComplete` if the answer was sent in full, `reason` says why not. */
+  onClose(action: (isComplete: boolean, reason?: ConnectionEndReason) => void): void;
 }
 
-/** What one request is run with. */
 export interface RequestContext {
   readonly services: RequestServices;
-  /** The configuration that the request started with; it keeps the routes, see {@link RequestServices.endpointsOf}. */
+  /** Configuration at the start of the request. Its routes stay in use, but see {@link RequestServices.endpointsOf}. */
   readonly snapshot: Snapshot;
   readonly match: RouteMatch;
   readonly method: string;
-  /** Path and query as the caller sent them. */
+  /** Path and query as sent by the caller. */
   readonly target: string;
-  /** Headers to send on, with the route's credential. */
+  /** Headers to forward, including the route's credential. */
   readonly headers: HeaderList;
-  /** Attempts after the first by the caller's word; undefined when it names none. */
+  /** Maximum number of attempts after the first, as set by the caller; undefined if it sets none. */
   readonly retries: number | undefined;
   readonly response: CallerReply;
-  /** Names the request to the caller. */
+  /** Identifies the request to the caller. */
   readonly requestId: string;
-  /** Unique in the fleet; names the attempts of the request between nodes. */
+  /** Unique in the fleet; prefix of the ids that identify the request's attempts between nodes. */
   readonly attemptPrefix: string;
   readonly deadlineAtMs: number;
 }
--- a/src/proxy/request-decision.ts
+++ b/src/proxy/request-decision.ts
@@ -1,17 +1,17 @@
-/** The line of the log for a decision on a request at its caller's node. Pure. */
+/** Builds the log entry for a decision on a request at its caller's node. Pure. */
 import type { Verdict } from '../model/verdict.js';
 import type { ConnectionEndReason } from './connection-end.js';
 import type { LoadReport, SilenceSign } from './call.js';
 import type { RequestContext } from './request-context.js';
 import type { RequestFailure } from './request-error.js';
 import type {
-  AwaitedThing,
+  AwaitedResource,
   RequestDecision,
   RequestDecisionName,
   SuspicionOutcome,
 } from './request-log.js';
 
-/** How far a request has come. Moments are on the node's clock, in milliseconds. */
+/** State of a request at the time of a decision. Times are on the node's clock, in milliseconds. */
 export interface RequestProgress {
   readonly attempt: number;
   readonly endpoint: string | undefined;
@@ -21,27 +21,27 @@
   readonly nowMs: number;
 }
 
-/** What some decisions tell besides. */
+/** Details that only some decisions have. */
 export interface DecisionDetails {
   readonly load?: LoadReport | undefined;
-  readonly waitedFor?: AwaitedThing;
-  /** What the request is known by at all machines. */
+  readonly waitedFor?: AwaitedResource;
+  /** Identifies the request on all machines. */
   readonly fingerprint?: string | undefined;
-  /** Why the attempt's answer was in doubt. */
-  readonly sign?: SilenceSign | undefined;
+  /** Why the attempt was suspected. */
+  readonly suspicion?: SilenceSign | undefined;
   readonly next?: SuspicionOutcome;
-  /** Why the connection of its caller ended. */
+  /** Why the caller's connection ended. */
   readonly endedBy?: ConnectionEndReason | undefined;
 }
 
-/** What was decided, and why. */
+/** A decision and its cause. */
 export interface DecidedOutcome extends DecisionDetails {
   readonly event: RequestDecisionName;
   readonly failure: RequestFailure;
   readonly verdict: Verdict;
 }
 
-/** Decisions on one attempt, which tell the time that it took. */
+/** Decisions on a single attempt; their log entries contain its duration. */
 const ATTEMPT_EVENTS: ReadonlySet<RequestDecisionName> = new Set([
   'attempt-failed',
   'attempt-suspected',
@@ -51,7 +51,17 @@
 export function requestDecision(
   { requestId, match, snapshot, deadlineAtMs }: RequestContext,
   progress: RequestProgress,
-  { event, failure, verdict, load, waitedFor, fingerprint, sign, next, endedBy }: DecidedOutcome,
+  {
+    event,
+    failure,
+    verdict,
+    load,
+    waitedFor,
+    fingerprint,
+    suspicion,
+    next,
+    endedBy,
+  }: DecidedOutcome,
 ): RequestDecision {
   const { attempt, endpoint, startedAtMs, attemptStartedAtMs, isLate, nowMs } = progress;
   const { code, retryAfterMs } = failure;
@@ -69,8 +79,8 @@
     deadlineLeftMs: Math.round(deadlineAtMs - nowMs),
     configuration: snapshot.version.source.number,
     ...(retryAfterMs !== undefined && { retryAfterMs: Math.round(retryAfterMs) }),
-    ...(sign && { silent: sign.silent }),
-    ...(sign?.quietMs !== undefined && { quietMs: Math.round(sign.quietMs) }),
+    ...(suspicion && { silent: suspicion.silent }),
+    ...(suspicion?.quietMs !== undefined && { quietMs: Math.round(suspicion.quietMs) }),
     ...(next && { next }),
     ...(endedBy && { endedBy }),
     ...(waitedFor && { waitedFor }),
--- a/src/proxy/request-error.ts
+++ b/src/proxy/request-error.ts
@@ -1,17 +1,17 @@
 /**
- * Errors of the request path: one class per failure. Each carries the verdict that may be told to
- * the caller, and whether another attempt may help.
+ * Errors of the request path: one class per failure. Each carries the verdict to report to the caller,
+ * and whether another attempt may succeed.
  */
 import type { Verdict } from '../model/verdict.js';
 
-/** What the decision logic needs to know of a failure. */
+/** Properties of a failure that retry decisions depend on. */
 export interface RequestFailure {
   /** Stable, upper-case identifier of the failure. */
   readonly code: string;
   readonly verdict: Verdict;
   /** Whether another endpoint, or the same one a little later, may succeed. */
   readonly retryable: boolean;
-  /** When the caller should come back, in milliseconds; absent where coming back does not help. */
+  /** Delay after which the caller should retry, in milliseconds; absent if a retry does not help. */
   readonly retryAfterMs?: number;
 }
 
@@ -19,7 +19,7 @@
 export abstract class RequestError extends Error implements RequestFailure {
   abstract readonly code: string;
   abstract readonly verdict: Verdict;
-  /** HTTP status of the answer that reports it. */
+  /** HTTP status of the answer that reports the error. */
   abstract readonly status: number;
   readonly retryable: boolean = false;
   readonly retryAfterMs?: number;
@@ -33,7 +33,7 @@
   }
 }
 
-/** Base of errors after which the request has provably not run. */
+/** Base of errors that prove that the request has not run. */
 abstract class NotRunError extends RequestError {
   override readonly verdict = 'not-run';
 }
@@ -43,7 +43,7 @@
   override readonly verdict = 'may-have-run';
 }
 
-/** The caller's request can't be understood or is not supported. */
+/** The caller's request is malformed or not supported. */
 export class BadRequestError extends NotRunError {
   override readonly code = 'BAD_REQUEST';
 
@@ -55,13 +55,13 @@
   }
 }
 
-/** The request body is larger than the node takes. */
+/** The request body exceeds the node's size limit. */
 export class BodyTooLargeError extends NotRunError {
   override readonly code = 'BODY_TOO_LARGE';
   override readonly status = 413;
 }
 
-/** The request body did not arrive before the deadline; nothing was sent on. */
+/** The request body did not arrive before the deadline; nothing was forwarded. */
 export class BodyTooSlowError extends NotRunError {
   override readonly code = 'BODY_TOO_SLOW';
   override readonly status = 408;
@@ -73,43 +73,43 @@
   override readonly status = 404;
 }
 
-/** The node holds no configuration yet. */
+/** The node has not received a configuration yet. */
 export class NotConfiguredError extends NotRunError {
   override readonly code = 'NOT_CONFIGURED';
   override readonly status = 503;
 }
 
-/** The caller's deadline had passed before the request was sent on. */
+/** The caller's deadline passed before the request was forwarded. */
 export class DeadlinePassedError extends NotRunError {
   override readonly code = 'DEADLINE_PASSED';
   override readonly status = 504;
 }
 
-/** The node is about to stop and takes no new work. */
+/** The node is about to stop and accepts no new requests. */
 export class NodeStoppingError extends NotRunError {
   override readonly code = 'NODE_STOPPING';
   override readonly status = 503;
   override readonly retryable = true;
 }
 
-/** The service has no endpoint that takes new work. */
+/** The service has no endpoint that accepts new requests. */
 export class NoEndpointError extends NotRunError {
   override readonly code = 'NO_ENDPOINT';
   override readonly status = 503;
 }
 
-/** Nobody could tell whether the idempotency key has been used: nothing was sent on. */
+/** It could not be determined whether the idempotency key was used before; nothing was forwarded. */
 export class ClaimUnavailableError extends NotRunError {
   override readonly code = 'CLAIM_UNAVAILABLE';
   override readonly status = 503;
 }
 
-/** Another request with the same idempotency key came first. */
+/** Another request with the same idempotency key was received earlier. */
 export class DuplicateRequestError extends RequestError {
   override readonly code = 'DUPLICATE_REQUEST';
   override readonly status = 409;
 
-  /** `verdict` is that of the request that came first. */
+  /** `verdict` is that of the earlier request. */
   constructor(
     message: string,
     override readonly verdict: 'ran' | 'may-have-run',
@@ -118,7 +118,7 @@
   }
 }
 
-/** Endpoints ended while they ran the same request: it is not sent on for a while. */
+/** Endpoint processes ended while running the same request, which is therefore not forwarded for some time. */
 export class ContainedError extends NotRunError {
   override readonly code = 'CONTAINED';
   override readonly status = 503;
@@ -138,35 +138,35 @@
   override readonly retryable = true;
 }
 
-/** The request can't finish before its deadline at the endpoint's measured pace. */
+/** The request can't finish before its deadline, given the endpoint's measured service times. */
 export class CannotFinishInTimeError extends NotRunError {
   override readonly code = 'CANNOT_FINISH_IN_TIME';
   override readonly status = 503;
   override readonly retryable = true;
 }
 
-/** The endpoint takes no new work. */
+/** The endpoint is draining and accepts no new requests. */
 export class EndpointDrainingError extends NotRunError {
   override readonly code = 'ENDPOINT_DRAINING';
   override readonly status = 503;
   override readonly retryable = true;
 }
 
-/** The endpoint's zone is evacuated: it gets no new work until that ends. */
+/** The endpoint's zone is evacuated; the endpoint gets no new requests until the evacuation ends. */
 export class EndpointEvacuatedError extends NotRunError {
   override readonly code = 'ENDPOINT_EVACUATED';
   override readonly status = 503;
   override readonly retryable = true;
 }
 
-/** The endpoint refused the request before it started. */
+/** The endpoint refused the request without starting it. */
 export class EndpointRefusedError extends NotRunError {
   override readonly code = 'ENDPOINT_REFUSED';
   override readonly status = 503;
   override readonly retryable = true;
 }
 
-/** Another process answers at the endpoint's address. */
+/** Another process now answers at the endpoint's address. */
 export class EndpointGoneError extends NotRunError {
   override readonly code = 'ENDPOINT_GONE';
   override readonly status = 503;
@@ -180,7 +180,7 @@
   override readonly retryable = true;
 }
 
-/** A peer refused the relayed request as not coming from a member of the fleet. */
+/** A peer refused the relayed request because it was not authenticated as coming from a fleet member. */
 export class RelayForbiddenError extends NotRunError {
   override readonly code = 'RELAY_FORBIDDEN';
   override readonly status = 502;
@@ -193,74 +193,74 @@
   override readonly status = 504;
 }
 
-/** The connection died, and the endpoint then confirmed that the request has not run and never will. */
+/** The connection was lost, and the endpoint then confirmed that the request has not run and never will. */
 export class LostBeforeStartError extends NotRunError {
   override readonly code = 'LOST_BEFORE_START';
   override readonly status = 502;
   override readonly retryable = true;
 }
 
-/** The deadline passed after the request was sent on. */
+/** The deadline passed after the request was forwarded. */
 export class TimedOutError extends MayHaveRunError {
   override readonly code = 'TIMED_OUT';
   override readonly status = 504;
 }
 
-/** The connection died after the request, or a part of it, was sent. */
+/** The connection was lost after all or part of the request was sent. */
 export class ConnectionLostError extends MayHaveRunError {
   override readonly code = 'CONNECTION_LOST';
   override readonly status = 502;
   override readonly retryable = true;
 }
 
-/** The endpoint's process ended while the request was at work there. */
+/** The endpoint's process ended while it was running the request. */
 export class EndpointEndedError extends MayHaveRunError {
   override readonly code = 'ENDPOINT_ENDED';
   override readonly status = 502;
   override readonly retryable = true;
 }
 
-/** The node had to stop before the answer to a request that it had sent on. */
+/** The node stopped before a forwarded request was answered. */
 export class StoppedBeforeAnswerError extends MayHaveRunError {
   override readonly code = 'STOPPED_BEFORE_ANSWER';
   override readonly status = 502;
   override readonly retryable = true;
 }
 
-/** The answer is not valid HTTP, or its end can't be checked. */
+/** The answer is not valid HTTP, or its completeness can't be checked. */
 export class MalformedAnswerError extends MayHaveRunError {
   override readonly code = 'MALFORMED_ANSWER';
   override readonly status = 502;
   override readonly retryable = true;
 }
 
-/** The answer ended before it was whole, before any of it was passed on. */
+/** The answer was truncated, and no part of it had been forwarded. */
 export class TruncatedAnswerError extends MayHaveRunError {
   override readonly code = 'TRUNCATED_ANSWER';
   override readonly status = 502;
   override readonly retryable = true;
 }
 
-/** The endpoint answered, and its answer reports a fault of its own. */
+/** The endpoint's answer reports an error of the endpoint itself. */
 export class EndpointFaultError extends MayHaveRunError {
   override readonly code = 'ENDPOINT_FAULT';
   override readonly status = 502;
   override readonly retryable = true;
 }
 
-/** The caller went away before the answer. */
+/** The caller's connection ended before the answer was sent. */
 export class CallerGoneError extends MayHaveRunError {
   override readonly code = 'CALLER_GONE';
   override readonly status = 499;
 }
 
-/** A fault of the node itself; where it struck is not known. */
+/** An unexpected error in the node, at an unknown stage of the request. */
 export class InternalError extends MayHaveRunError {
   override readonly code = 'INTERNAL';
   override readonly status = 500;
 }
 
-/** A failure that the endpoint's own node reported. */
+/** A failure reported by the node that owns the endpoint. */
 export class RelayedError extends RequestError {
   override readonly code: string;
   override readonly verdict: Verdict;
@@ -278,8 +278,8 @@
   }
 }
 
-/** Codes of failures after which nothing has run although the endpoint itself got the request. */
-const REFUSED_BY_ENDPOINT: ReadonlySet<string> = new Set([
+/** Codes of failures where the endpoint received the request but did not run it. */
+const ENDPOINT_REFUSAL_CODES: ReadonlySet<string> = new Set([
   'ENDPOINT_REFUSED',
   'ENDPOINT_GONE',
   'CANCELLED',
@@ -287,22 +287,23 @@
 ]);
 
 /**
- * Codes of failures at endpoints that are not there, whose node is about to stop or whose zone is evacuated,
- * before anything arrived at one: an arrival that is refused counts among a service's retries, like one that runs.
+ * Codes of failures where the request did not reach the endpoint because the endpoint is absent, its node is about
+ * to stop or its zone is evacuated. A request that reaches an endpoint counts towards the service's retries, whether
+ * the endpoint refuses or runs it.
  */
-const ABSENT_ENDPOINT: ReadonlySet<string> = new Set([
+const ABSENT_ENDPOINT_CODES: ReadonlySet<string> = new Set([
   'UNREACHABLE',
   'UNKNOWN_ENDPOINT',
   'NODE_STOPPING',
   'ENDPOINT_EVACUATED',
 ]);
 
-/** Whether the endpoint is absent, which says nothing of the load of others. */
+/** Whether the endpoint is absent; this does not indicate that other endpoints are overloaded. */
 export function isEndpointAbsent({ verdict, code }: RequestFailure): boolean {
-  return verdict === 'not-run' && ABSENT_ENDPOINT.has(code);
+  return verdict === 'not-run' && ABSENT_ENDPOINT_CODES.has(code);
 }
 
-/** Whether the endpoint itself may have got the request, so that another attempt adds to its load. */
+/** Whether the endpoint itself may have received the request, so that another attempt adds load. */
 export function reachedEndpoint({ verdict, code }: RequestFailure): boolean {
-  return verdict !== 'not-run' || REFUSED_BY_ENDPOINT.has(code);
+  return verdict !== 'not-run' || ENDPOINT_REFUSAL_CODES.has(code);
 }
--- a/src/proxy/request-event.ts
+++ b/src/proxy/request-event.ts
@@ -1,24 +1,24 @@
-/** What happens to one caller's request, and what is to be done about it. */
+/** Events and effects of the lifecycle of one caller's request. */
 import type { Verdict } from '../model/verdict.js';
 import type { RequestFailure } from './request-error.js';
 
-/** Something that happened; `attempt` counts from 1, and events of a past attempt have no effect. */
+/** Input of the lifecycle; `attempt` counts from 1, and events of an attempt that is over have no effect. */
 export type RequestEvent =
   | { readonly type: 'start' }
   /** The head of an answer arrived. */
   | {
       readonly type: 'answered';
       readonly attempt: number;
-      /** The failure that the answer reports, where another endpoint may do better. */
+      /** The failure that the answer reports, if another endpoint may succeed. */
       readonly fault?: RequestFailure;
     }
   | { readonly type: 'answer-whole'; readonly attempt: number }
-  /** The answer ended too early; `canReplay` as for `failed`. */
+  /** The answer was truncated; `canReplay` as for `failed`. */
   | {
       readonly type: 'answer-broken';
       readonly attempt: number;
       readonly failure: RequestFailure;
-      /** Whether the caller got a part of it. */
+      /** Whether part of the answer was forwarded to the caller. */
       readonly wasPassedOn: boolean;
       readonly canReplay: boolean;
     }
@@ -29,51 +29,51 @@
       /** Whether the body can be sent again. */
       readonly canReplay: boolean;
     }
-  /** Nothing is heard of the peer, or on the connection, that owes the answer; it may still come. */
+  /** The peer or connection from which the answer is awaited is unresponsive; the answer may still arrive. */
   | {
       readonly type: 'suspected';
       readonly attempt: number;
-      /** What the attempt would have failed with; not run where it has provably not reached its endpoint. */
+      /** The failure if the attempt ended now; `not-run` if the attempt has provably not reached its endpoint. */
       readonly failure: RequestFailure;
       readonly canReplay: boolean;
     }
   /** No endpoint is left to try. */
   | { readonly type: 'no-endpoint'; readonly attempt: number; readonly failure: RequestFailure }
-  /** The request is not to be sent on: endpoints ended under it. */
+  /** The request is not forwarded because endpoint processes ended while running it. */
   | { readonly type: 'withheld'; readonly attempt: number; readonly failure: RequestFailure }
   | { readonly type: 'back-off-over' }
-  /** The request can't be answered within its target latency any more, but before its deadline. */
+  /** The request can no longer be answered within its target latency, but may be before its deadline. */
   | { readonly type: 'target-missed' }
-  /** The deadline passed; `failure` says so, and what is known of the attempt under way. */
+  /** The deadline passed; `failure` reports it, and what is known about the attempts in flight. */
   | { readonly type: 'deadline'; readonly failure: RequestFailure }
-  /** The node stops: nothing more can be awaited. */
+  /** The node is stopping and can't wait any longer. */
   | {
       readonly type: 'give-up';
       readonly failure: RequestFailure;
-      /** Whether the attempt under way has provably not left the node. */
+      /** Whether no endpoint can have received any attempt in flight. */
       readonly isUnsent: boolean;
-      /** Whether the caller got a part of the answer. */
+      /** Whether part of the answer was forwarded to the caller. */
       readonly wasPassedOn: boolean;
     }
   | { readonly type: 'caller-gone' };
 
-/** The events that tell of one attempt. */
+/** The events that concern a single attempt. */
 export type AttemptEvent = Extract<RequestEvent, { attempt: number }>;
 
-/** Something to be done. */
+/** Output of the lifecycle: an action to perform. */
 export type RequestEffect =
   | {
       readonly type: 'begin-attempt';
       readonly attempt: number;
-      /** Attempts after the first that the receivers of this attempt may make among them. */
+      /** Retry allowance that is passed on to the receivers of this attempt, for all of them together. */
       readonly retriesLeft: number;
     }
   | { readonly type: 'back-off'; readonly delayMs: number }
   | { readonly type: 'abort-attempt'; readonly attempt: number }
   | { readonly type: 'pass-answer'; readonly attempt: number }
-  /** The answer reports a fault, and the request is sent again. */
+  /** The answer reports an endpoint error, and another attempt may succeed. */
   | { readonly type: 'discard-answer'; readonly attempt: number }
-  /** Tell the caller; `verdict` covers all attempts. */
+  /** Report an error to the caller; `verdict` covers all attempts. */
   | { readonly type: 'report'; readonly failure: RequestFailure; readonly verdict: Verdict }
-  /** Break the caller's connection: its answer can't be completed. */
+  /** Break the caller's connection because the answer can't be completed. */
   | { readonly type: 'break-connection' };
--- a/src/proxy/request-intake.ts
+++ b/src/proxy/request-intake.ts
@@ -1,4 +1,4 @@
-/** The way of a caller's request into the node, up to its first attempt. */
+/** Admits callers' requests to the node and prepares them up to their first attempt. */
 import type { Snapshot } from '../model/snapshot.js';
 import { RouteTableCache, type RouteMatch } from '../routing/route-table.js';
 import { MAX_CLAIMED_REQUEST_MS } from '../claims/claim-terms.js';
@@ -26,25 +26,22 @@
 import { withCredential } from './route-credential.js';
 import { MACHINE_TIME } from './scheduler.js';
 
-/** When to come back to a node that holds no configuration yet, in milliseconds. */
+/** Retry delay for callers of a node that has no configuration yet, in milliseconds. */
 const NOT_CONFIGURED_RETRY_MS = 1_000;
-/**
- * When to come back to a node that is about to stop, in milliseconds; callers are sent to another one by
- * then.
- */
+/** Retry delay for callers of a node that is about to stop, in milliseconds; by then they are sent to another one. */
 const STOPPING_RETRY_MS = 50;
 
-/** What the intake needs of its node. */
+/** Dependencies of {@link RequestIntake}. */
 export interface RequestIntakeOptions {
   readonly node: RequestProxyOptions;
   readonly limits: ProxyLimits;
   readonly services: RequestServices;
-  /** Counts the requests in flight, those of other nodes included. */
+  /** Counts the requests in flight, including those relayed from other nodes. */
   readonly meter: CallMeter;
   readonly stop: PlannedStop;
 }
 
-/** A request that has found its route. */
+/** A request whose route has been found. */
 interface RoutedRequest {
   readonly request: CallerRequest;
   readonly snapshot: Snapshot;
@@ -54,35 +51,34 @@
   readonly deadlineAtMs: number;
 }
 
-/** The intake of one node. */
 export class RequestIntake {
   private readonly routeTables = new RouteTableCache();
-  private readonly heldBytes: HeldBytes;
+  private readonly bodyBufferBudget: HeldBytes;
   private requestCount = 0;
-  /** Callers' requests under way. */
+  /** Callers' requests in flight. */
   private readonly runners = new Set<RequestRunner>();
-  /** Callers' requests that came with a key to claim. */
+  /** Callers' requests whose idempotency key has to be claimed. */
   private readonly claimGates = new Set<ClaimGate>();
 
   constructor(private readonly options: RequestIntakeOptions) {
-    this.heldBytes = new HeldBytes(options.limits.maxHeldBytes);
+    this.bodyBufferBudget = new HeldBytes(options.limits.maxHeldBytes);
   }
 
-  /** Gives every caller's request under way its final answer. Returns how many there were. */
+  /** Sends every caller's request in flight its final answer. Returns the number of requests. */
   giveUp(): number {
     const log = this.options.node.requestLog ?? NO_REQUEST_LOG;
     const waiting = [...this.claimGates].filter((gate) => gate.giveUp(log)).length;
     return waiting + [...this.runners].filter((runner) => runner.giveUp()).length;
   }
 
-  /** An identity for a request, unique in the fleet. */
+  /** Returns a request id that is unique in the fleet. */
   nextRequestId(): string {
     this.requestCount += 1;
     const { id, incarnation } = this.options.node.identity;
     return `${id}-${incarnation.toString(36)}-${this.requestCount.toString(36)}`;
   }
 
-  /** Takes a request from its caller; every one gets an answer or an error. */
+  /** Handles a request from its caller; each request gets an answer or an error. */
   handle(request: CallerRequest, response: CallerResponse): void {
     const ownId = this.nextRequestId();
     const requestId = request.requestId ?? ownId;
@@ -131,7 +127,7 @@
     if (match === undefined) {
       throw new RouteNotFoundError('no route matches the request');
     }
-    const attempt = this.attemptToClaim(request, match, attemptPrefix);
+    const attempt = this.claimedAttemptOf(request, match, attemptPrefix);
     const ownDeadlineAtMs = MACHINE_TIME.now() + timeLeftMs(request, match, attempt !== undefined);
     const deadlineAtMs = this.options.stop.deadlineWithin(ownDeadlineAtMs);
     const start = (reply: CallerReply): void => {
@@ -156,8 +152,8 @@
     void gate.startWhenClaimed(start);
   }
 
-  /** What has to be claimed before the request may be sent on; undefined when nothing has to be. */
-  private attemptToClaim(
+  /** The claim that has to be won before the request may be forwarded; undefined if none is needed. */
+  private claimedAttemptOf(
     request: CallerRequest,
     match: RouteMatch,
     requestId: string,
@@ -200,7 +196,7 @@
     limits: ProxyLimits,
   ): void {
     try {
-      const release = receiveBody(request.message, limits, this.heldBytes, (body) =>
+      const release = receiveBody(request.message, limits, this.bodyBufferBudget, (body) =>
         runner.start(body),
       );
       response.onClose(release);
@@ -221,11 +217,11 @@
   }
 }
 
-/** Time for the request from now on, in milliseconds; throws when none is left. */
+/** Time left for the request, in milliseconds; throws if none is left. */
 function timeLeftMs(request: CallerRequest, match: RouteMatch, isClaimed: boolean): number {
-  const mostMs = isClaimed ? MAX_CLAIMED_REQUEST_MS : Infinity;
-  const { timeoutMs: namedMs = Infinity, waitedMs } = request;
-  const timeoutMs = Math.min(Math.min(match.timeoutMs, namedMs) - waitedMs, mostMs);
+  const maxClaimedMs = isClaimed ? MAX_CLAIMED_REQUEST_MS : Infinity;
+  const { timeoutMs: requestedMs = Infinity, waitedMs } = request;
+  const timeoutMs = Math.min(Math.min(match.timeoutMs, requestedMs) - waitedMs, maxClaimedMs);
   if (timeoutMs <= 0) {
     throw new DeadlinePassedError('the deadline has passed');
   }
--- a/src/proxy/request-lifecycle.ts
+++ b/src/proxy/request-lifecycle.ts
@@ -1,10 +1,11 @@
 /**
- * Life of one caller's request at the caller's node: attempts, retries, the verdict over all
- * attempts. Pure: events with the time in, effects out.
+ * Lifecycle of one caller's request at the caller's node: attempts, retries, and the verdict over all
+ * attempts. Pure: takes events with the current time and returns effects.
  *
- * An attempt of which nothing is heard is a suspect: another one may begin beside it, and the first good
- * answer wins. Without another one it is waited for: only the loss of its connection, the deadline, the
- * caller and the end of a planned stop end an attempt that no answer has replaced.
+ * An attempt whose peer or connection is unresponsive is a suspect: another attempt may begin in parallel, and
+ * the first good answer wins. If no other attempt begins, the suspect is still awaited: until another attempt is
+ * answered, it ends only when its connection is lost, its deadline passes, its caller disconnects or a planned
+ * stop ends.
  */
 import type { RandomSource } from '../control/control-event.js';
 import type { RetryBudget } from '../routing/retry-budget.js';
@@ -16,31 +17,30 @@
 export type { RequestEffect, RequestEvent } from './request-event.js';
 export type { RequestPolicy } from './request-policy.js';
 
-/** Upper bound of the first back-off, in milliseconds; doubles with each retry. */
+/** Upper bound of the first back-off, in milliseconds; doubles with each attempt. */
 const FIRST_BACK_OFF_MS = 10;
 
 /**
- * - `attempting`: the latest attempt is under way, and not suspected.
- * - `answering`: an answer is passed on.
- * - `backing-off`: another attempt follows after a pause.
- * - `awaiting`: no other attempt follows; the suspects may still be answered.
+ * - `attempting`: the current attempt is in flight and not among the suspects.
+ * - `answering`: an answer is being forwarded.
+ * - `backing-off`: another attempt follows after a delay.
+ * - `awaiting`: no other attempt follows, but suspects may still be answered.
  */
 type State = 'new' | 'attempting' | 'answering' | 'backing-off' | 'awaiting' | 'over';
 
-/** One caller's request. */
 export class RequestLifecycle {
   private state: State = 'new';
-  /** The latest attempt. */
+  /** Number of the latest attempt. */
   private attempt = 0;
-  /** The attempt that is under way or passes its answer on. */
+  /** Number of the attempt that is in flight or whose answer is being forwarded. */
   private current = 0;
-  /** Attempts of which nothing is heard, and that are waited for beside the current one. */
+  /** Numbers of suspected attempts that are still awaited in addition to the current one. */
   private readonly suspects = new Set<number>();
   private retriesLeft: number;
   private redirectsLeft: number;
   private absentRedirectsLeft: number;
   private lastFailure: RequestFailure | undefined;
-  /** Whether an attempt that is over may have run. */
+  /** Whether an attempt that has ended may have run. */
   private mayHaveRun = false;
 
   constructor(
@@ -53,68 +53,72 @@
     this.absentRedirectsLeft = policy.absentRedirects ?? 0;
   }
 
-  /** Whether the request has got its answer or error. */
+  /** Whether the request has been answered, has failed or was abandoned. */
   get isOver(): boolean {
     return this.state === 'over';
   }
 
-  /** Takes an event; effects are to be executed in order. */
+  /** Handles an event; the returned effects must be executed in order. */
   handle(event: RequestEvent, nowMs: number): RequestEffect[] {
     if (this.state === 'over') {
       return [];
     }
-    return 'attempt' in event ? this.handleAttempt(event, nowMs) : this.handleRequest(event);
+    return 'attempt' in event
+      ? this.handleAttemptEvent(event, nowMs)
+      : this.handleRequestEvent(event);
   }
 
-  /** Takes what an attempt came to; nothing of one that is past counts. */
-  private handleAttempt(event: AttemptEvent, nowMs: number): RequestEffect[] {
-    if (event.attempt === this.current && this.isUnderWay) {
-      return this.handleCurrent(event, nowMs);
+  /** Handles an event of an attempt; events of attempts that have ended are ignored. */
+  private handleAttemptEvent(event: AttemptEvent, nowMs: number): RequestEffect[] {
+    if (event.attempt === this.current && this.hasActiveAttempt) {
+      return this.handleCurrentEvent(event, nowMs);
     }
-    return this.suspects.has(event.attempt) ? this.handleSuspect(event, nowMs) : [];
+    return this.suspects.has(event.attempt) ? this.handleSuspectEvent(event, nowMs) : [];
   }
 
-  private handleCurrent(event: AttemptEvent, nowMs: number): RequestEffect[] {
+  private handleCurrentEvent(event: AttemptEvent, nowMs: number): RequestEffect[] {
     switch (event.type) {
       case 'answered':
-        return this.takeAnswer(event.fault, nowMs);
+        return this.handleAnswer(event.fault, nowMs);
       case 'answer-whole':
         this.state = 'over';
         return this.abortSuspects();
       case 'answer-broken':
-        return this.breakAnswer(event, nowMs);
+        return this.handleBrokenAnswer(event, nowMs);
       case 'failed':
-        return this.fail(event.failure, event.canReplay, nowMs);
+        return this.handleFailure(event.failure, event.canReplay, nowMs);
       case 'suspected':
-        return this.suspect(event, nowMs);
+        return this.handleSuspicion(event, nowMs);
       case 'no-endpoint':
-        return this.settle(this.lastFailure ?? event.failure);
+        return this.reportOrAwaitSuspects(this.lastFailure ?? event.failure);
       case 'withheld':
-        return this.settle(this.mayHaveRun ? (this.lastFailure ?? event.failure) : event.failure);
+        return this.reportOrAwaitSuspects(
+          this.mayHaveRun ? (this.lastFailure ?? event.failure) : event.failure,
+        );
     }
   }
 
-  private handleSuspect(event: AttemptEvent, nowMs: number): RequestEffect[] {
+  private handleSuspectEvent(event: AttemptEvent, nowMs: number): RequestEffect[] {
     switch (event.type) {
       case 'answered':
-        return this.takeSuspectAnswer(event.attempt, event.fault, nowMs);
+        return this.handleSuspectAnswer(event.attempt, event.fault, nowMs);
       case 'failed':
-        return this.failSuspect(event, nowMs);
+        return this.handleSuspectFailure(event, nowMs);
       default:
         return [];
     }
   }
 
-  private handleRequest(event: Exclude<RequestEvent, AttemptEvent>): RequestEffect[] {
+  private handleRequestEvent(event: Exclude<RequestEvent, AttemptEvent>): RequestEffect[] {
     switch (event.type) {
       case 'start':
         return this.start();
       case 'target-missed':
-        return this.missTarget();
+        return this.handleTargetMissed();
       case 'back-off-over':
         return this.state === 'backing-off' ? this.beginAttempt() : [];
       case 'deadline':
-        return this.expire(event.failure);
+        return this.handleDeadline(event.failure);
       case 'give-up':
         return this.giveUp(event);
       case 'caller-gone':
@@ -122,11 +126,11 @@
     }
   }
 
-  private get isUnderWay(): boolean {
+  private get hasActiveAttempt(): boolean {
     return this.state === 'attempting' || this.state === 'answering';
   }
 
-  /** Whether an attempt may have run, or be at work. */
+  /** Whether any attempt may have run or may still be running. */
   private get isInDoubt(): boolean {
     return this.mayHaveRun || this.suspects.size > 0;
   }
@@ -140,27 +144,27 @@
   }
 
   /**
-   * The retries left are split between the receivers of this attempt and later attempts, so that a
-   * chain of calls makes no more attempts in all than its first request allows.
+   * The remaining retries are split between the receivers of this attempt and later attempts, so that a
+   * chain of calls makes no more attempts in total than its first request allows.
    */
   private beginAttempt(): RequestEffect[] {
     this.state = 'attempting';
     this.attempt += 1;
     this.current = this.attempt;
-    const forReceivers = Math.floor(this.retriesLeft / 2);
-    this.retriesLeft -= forReceivers;
-    return [{ type: 'begin-attempt', attempt: this.attempt, retriesLeft: forReceivers }];
+    const receiverRetries = Math.floor(this.retriesLeft / 2);
+    this.retriesLeft -= receiverRetries;
+    return [{ type: 'begin-attempt', attempt: this.attempt, retriesLeft: receiverRetries }];
   }
 
-  /** What nodes refused for the sake of the target is no reason to refuse late work. */
-  private missTarget(): RequestEffect[] {
+  /** Ensures a minimum of redirects: refusals because of the target latency don't apply to a late request. */
+  private handleTargetMissed(): RequestEffect[] {
     this.redirectsLeft = Math.max(this.redirectsLeft, this.policy.lateRedirects ?? 0);
     return [];
   }
 
-  /** An answer that reports a fault is passed on unless the request can be sent again, or a suspect may do better. */
-  private takeAnswer(fault: RequestFailure | undefined, nowMs: number): RequestEffect[] {
-    const next = fault && this.doBetter(fault, nowMs);
+  /** Forwards an answer, unless it reports an endpoint error and a retry or a suspect may still succeed. */
+  private handleAnswer(fault: RequestFailure | undefined, nowMs: number): RequestEffect[] {
+    const next = fault && this.replaceFault(fault, nowMs);
     if (fault === undefined || next === undefined) {
       this.state = 'answering';
       return [{ type: 'pass-answer', attempt: this.current }];
@@ -170,16 +174,16 @@
     return [{ type: 'discard-answer', attempt: this.current }, ...next];
   }
 
-  private doBetter(fault: RequestFailure, nowMs: number): RequestEffect[] | undefined {
-    const backOff = this.retry(fault, true, nowMs);
+  private replaceFault(fault: RequestFailure, nowMs: number): RequestEffect[] | undefined {
+    const backOff = this.scheduleRetry(fault, true, nowMs);
     if (backOff !== undefined) {
       return [backOff];
     }
-    return this.suspects.size > 0 ? this.settle(fault) : undefined;
+    return this.suspects.size > 0 ? this.reportOrAwaitSuspects(fault) : undefined;
   }
 
-  /** An answer that still came is passed on, unless another one is, or it is a fault and more may come. */
-  private takeSuspectAnswer(
+  /** Forwards a suspect's answer, unless another is being forwarded, or it is an error and others may follow. */
+  private handleSuspectAnswer(
     attempt: number,
     fault: RequestFailure | undefined,
     nowMs: number,
@@ -198,16 +202,20 @@
       this.suspects.add(this.current);
     }
     this.current = attempt;
-    return this.takeAnswer(fault, nowMs);
+    return this.handleAnswer(fault, nowMs);
   }
 
-  private fail(failure: RequestFailure, canReplay: boolean, nowMs: number): RequestEffect[] {
+  private handleFailure(
+    failure: RequestFailure,
+    canReplay: boolean,
+    nowMs: number,
+  ): RequestEffect[] {
     this.lastFailure = failure;
     this.mayHaveRun ||= failure.verdict !== 'not-run';
-    return this.tryAgain(failure, canReplay, nowMs) ?? this.settle(failure);
+    return this.startNextAttempt(failure, canReplay, nowMs) ?? this.reportOrAwaitSuspects(failure);
   }
 
-  private failSuspect(
+  private handleSuspectFailure(
     { attempt, failure, canReplay }: Extract<RequestEvent, { type: 'failed' }>,
     nowMs: number,
   ): RequestEffect[] {
@@ -215,15 +223,15 @@
     this.lastFailure = failure;
     this.mayHaveRun ||= failure.verdict !== 'not-run';
     const isLast = this.state === 'awaiting' && this.suspects.size === 0;
-    return isLast ? this.fail(failure, canReplay, nowMs) : [];
+    return isLast ? this.handleFailure(failure, canReplay, nowMs) : [];
   }
 
   /**
-   * Begins another attempt beside one of which nothing is heard, or in place of one that has provably not
-   * reached its endpoint. Where none may follow, that one is waited for: ended at the first sign of silence,
-   * requests were told 502 while their endpoints were at work behind links that were only slow.
+   * Begins another attempt in parallel to a suspect, or instead of a suspect that has provably not reached its
+   * endpoint. If no other attempt may follow, the suspect is still awaited: if suspicion alone ended it, callers
+   * would get a 502 while endpoints behind slow links were still running their requests.
    */
-  private suspect(
+  private handleSuspicion(
     { attempt, failure, canReplay }: Extract<RequestEvent, { type: 'suspected' }>,
     nowMs: number,
   ): RequestEffect[] {
@@ -234,7 +242,7 @@
     if (!isUnsent) {
       this.suspects.add(attempt);
     }
-    const next = this.tryAgain(failure, canReplay, nowMs);
+    const next = this.startNextAttempt(failure, canReplay, nowMs);
     if (next === undefined) {
       this.suspects.delete(attempt);
       return [];
@@ -246,25 +254,25 @@
     return [{ type: 'abort-attempt', attempt }, ...next];
   }
 
-  /** What begins another attempt; undefined when none may be made. */
-  private tryAgain(
+  /** The effects that begin another attempt, at once or after a delay; undefined if none is allowed. */
+  private startNextAttempt(
     failure: RequestFailure,
     canReplay: boolean,
     nowMs: number,
   ): RequestEffect[] | undefined {
-    if (this.isBestTold(failure, nowMs)) {
+    if (this.mustReportNow(failure, nowMs)) {
       return undefined;
     }
     if (this.mayRedirect(failure, canReplay)) {
-      this.takeRedirect(failure);
+      this.consumeRedirect(failure);
       return this.beginAttempt();
     }
-    const backOff = this.retry(failure, canReplay, nowMs);
+    const backOff = this.scheduleRetry(failure, canReplay, nowMs);
     return backOff && [backOff];
   }
 
-  /** No other attempt follows: the caller is told, unless a suspect may still be answered. */
-  private settle(failure: RequestFailure): RequestEffect[] {
+  /** Reports the failure to the caller, unless a suspect may still be answered. */
+  private reportOrAwaitSuspects(failure: RequestFailure): RequestEffect[] {
     if (this.suspects.size === 0) {
       return this.report(failure);
     }
@@ -273,37 +281,37 @@
   }
 
   /**
-   * Whether the request has provably not run, and another attempt might leave that in doubt at its deadline:
-   * nobody would be told of its refusal in time.
+   * Whether to report the failure without another attempt: the request has provably not run, and the refusal of
+   * another attempt could arrive after the deadline, so that the request would have to be reported as possibly run.
    */
-  private isBestTold(failure: RequestFailure, nowMs: number): boolean {
+  private mustReportNow(failure: RequestFailure, nowMs: number): boolean {
     const { refusableUntilMs = Infinity } = this.policy;
     return !this.isInDoubt && failure.verdict === 'not-run' && nowMs > refusableUntilMs;
   }
 
   private mayRedirect(failure: RequestFailure, canReplay: boolean): boolean {
-    const isFree = this.isAbsentFree(failure) || this.isRedirectLeft(failure);
-    return isFree && failure.retryable && canReplay;
+    const isRedirectLeft = this.hasAbsentRedirect(failure) || this.hasRedirect(failure);
+    return isRedirectLeft && failure.retryable && canReplay;
   }
 
-  private isAbsentFree(failure: RequestFailure): boolean {
+  private hasAbsentRedirect(failure: RequestFailure): boolean {
     return isEndpointAbsent(failure) && this.absentRedirectsLeft > 0;
   }
 
-  private isRedirectLeft(failure: RequestFailure): boolean {
+  private hasRedirect(failure: RequestFailure): boolean {
     return !reachedEndpoint(failure) && this.redirectsLeft > 0;
   }
 
-  private takeRedirect(failure: RequestFailure): void {
-    if (this.isAbsentFree(failure)) {
+  private consumeRedirect(failure: RequestFailure): void {
+    if (this.hasAbsentRedirect(failure)) {
       this.absentRedirectsLeft -= 1;
     } else {
       this.redirectsLeft -= 1;
     }
   }
 
-  /** The pause before another attempt; undefined when none may be made. */
-  private retry(
+  /** The delay before another attempt; undefined if no retry is allowed. */
+  private scheduleRetry(
     failure: RequestFailure,
     canReplay: boolean,
     nowMs: number,
@@ -314,7 +322,7 @@
     const delayMs = this.random() * FIRST_BACK_OFF_MS * 2 ** (this.attempt - 1);
     const beginsAtMs = nowMs + delayMs;
     const isTooLate =
-      beginsAtMs >= this.policy.deadlineAtMs || this.isBestTold(failure, beginsAtMs);
+      beginsAtMs >= this.policy.deadlineAtMs || this.mustReportNow(failure, beginsAtMs);
     if (isTooLate || !this.budget.take()) {
       return undefined;
     }
@@ -328,7 +336,7 @@
     return failure.retryable && isSafe && canReplay && this.retriesLeft > 0;
   }
 
-  private breakAnswer(
+  private handleBrokenAnswer(
     event: Extract<RequestEvent, { type: 'answer-broken' }>,
     nowMs: number,
   ): RequestEffect[] {
@@ -336,11 +344,11 @@
       this.state = 'over';
       return [...this.abortSuspects(), { type: 'break-connection' }];
     }
-    return this.fail(event.failure, event.canReplay, nowMs);
+    return this.handleFailure(event.failure, event.canReplay, nowMs);
   }
 
-  /** An answer under way goes on: its head was in time. */
-  private expire(failure: RequestFailure): RequestEffect[] {
+  /** An answer that is being forwarded continues, because its head arrived in time. */
+  private handleDeadline(failure: RequestFailure): RequestEffect[] {
     if (this.state === 'answering') {
       return this.abortSuspects();
     }
@@ -351,7 +359,7 @@
     return this.abortAndReport(failure);
   }
 
-  /** An answer that has begun to go out can't be replaced; it goes on while its connection is open. */
+  /** A partly forwarded answer can't be replaced by an error; it continues while its connection is open. */
   private giveUp(event: Extract<RequestEvent, { type: 'give-up' }>): RequestEffect[] {
     const { failure, isUnsent, wasPassedOn } = event;
     if (this.state === 'answering' && wasPassedOn) {
@@ -360,7 +368,7 @@
     if (this.state === 'backing-off' && this.suspects.size === 0) {
       return this.report(this.lastFailure ?? failure);
     }
-    this.mayHaveRun ||= this.isUnderWay && !isUnsent;
+    this.mayHaveRun ||= this.hasActiveAttempt && !isUnsent;
     return this.abortAndReport(failure);
   }
 
@@ -376,7 +384,7 @@
   }
 
   private abortAll(): RequestEffect[] {
-    const current: RequestEffect[] = this.isUnderWay
+    const current: RequestEffect[] = this.hasActiveAttempt
       ? [{ type: 'abort-attempt', attempt: this.current }]
       : [];
     return [...current, ...this.abortSuspects()];
--- a/src/proxy/request-log.ts
+++ b/src/proxy/request-log.ts
@@ -1,113 +1,111 @@
 /**
- * Decisions that touch a request, for the log: what was decided, the inputs that decided it, and the
- * outcome. Both nodes of a request's path name it alike, so that one search gives its whole path.
+ * Log entries for decisions on requests: the decision, its inputs and its outcome. Both nodes on a request's path
+ * log it under the same id, so that one search finds the complete path.
  */
 import type { SilentThing } from './call.js';
 import type { ConnectionEndReason } from './connection-end.js';
 
-/** What was decided. */
 export type RequestDecisionName =
-  /** An attempt did not bring an answer. */
+  /** An attempt ended without an answer. */
   | 'attempt-failed'
-  /** The answer of an attempt is in doubt; `silent` and `quietMs` say why, `next` what follows. */
+  /** An attempt may not be answered; `silent` and `quietMs` give the cause, `next` the reaction. */
   | 'attempt-suspected'
-  /** An attempt that was in doubt was given up: another one was answered, or nobody waits any more. */
+  /** A suspected attempt was cancelled: another one was answered, or the answer is no longer needed. */
   | 'attempt-cancelled'
-  /** The caller was told an error. */
+  /** An error was reported to the caller. */
   | 'request-failed'
-  /** The planned stop of the node gave the request up. */
+  /** The request was given up during the node's planned stop. */
   | 'request-given-up'
-  /** The connection of the caller ended before its answer; `endedBy` says why. */
+  /** The caller's connection ended before the answer arrived; `endedBy` gives the reason. */
   | 'request-abandoned'
-  /** The connection of the caller ended before an answer that was there had gone out; `endedBy` says why. */
+  /** The caller's connection ended before an available answer was sent in full; `endedBy` gives the reason. */
   | 'answer-cut'
-  /** The node beside the endpoint did not send the attempt on. */
+  /** The endpoint's node did not forward the attempt to the endpoint. */
   | 'attempt-refused'
-  /** The endpoint got the attempt and did not answer it. */
+  /** The endpoint received the attempt but did not answer it. */
   | 'endpoint-failed'
-  /** The node beside the endpoint ended the attempt at work there, since nobody waits for it. */
+  /** The endpoint's node cancelled the running attempt because its answer is no longer awaited. */
   | 'attempt-abandoned';
 
-/** Why nobody waits: the caller's node said so, or its connection is over. */
+/** Why an answer is no longer awaited: the caller's node cancelled the attempt, or its connection was closed. */
 export type AbandonCause = 'cancelled' | 'connection-closed';
 
 /**
- * What a request waits for: the `claim` on its key, the rest of its `body`, a `slot` of an endpoint or a
- * connection, the `peer` beside the endpoint, the `endpoint`, or a pause before the next attempt
- * (`back-off`).
+ * What a request is waiting for: the `claim` on its idempotency key, the remainder of its `body`, a `slot` of an
+ * endpoint or a connection, an answer from the `peer` that owns the endpoint or from the `endpoint`, or the delay
+ * before the next attempt (`back-off`).
  */
-export type AwaitedThing = 'claim' | 'body' | 'slot' | 'peer' | 'endpoint' | 'back-off';
+export type AwaitedResource = 'claim' | 'body' | 'slot' | 'peer' | 'endpoint' | 'back-off';
 
 /**
- * What follows on the suspicion of an attempt: it is waited for alone (`wait`), another one begins beside
- * it (`hedge`), or in its place since it has provably not reached its endpoint (`replace`).
+ * Reaction to the suspicion of an attempt: only that attempt is awaited (`wait`), another one begins in parallel
+ * (`hedge`), or another one begins instead because it has provably not reached its endpoint (`replace`).
  */
 export type SuspicionOutcome = 'wait' | 'hedge' | 'replace';
 
 /** One decision. Times are in milliseconds. */
 export interface RequestDecision {
   readonly event: RequestDecisionName;
-  /** The request, or the attempt, whose name begins with that of its request. */
+  /** Id of the request, or of the attempt, which begins with that of its request. */
   readonly request: string;
   readonly service?: string;
   readonly endpoint?: string;
   readonly attempt?: number;
   readonly code?: string;
   readonly verdict?: string;
-  /** What was silent, where the attempt's answer was in doubt. */
+  /** What was unresponsive when the attempt was suspected. */
   readonly silent?: SilentThing;
-  /** Time since anything was heard of it. */
+  /** Time since anything was last received from the unresponsive peer or connection. */
   readonly quietMs?: number;
   readonly next?: SuspicionOutcome;
   readonly cause?: AbandonCause;
-  /** Why the connection of its caller ended. */
+  /** Why the caller's connection ended. */
   readonly endedBy?: ConnectionEndReason;
   readonly deadlineLeftMs?: number;
   readonly elapsedMs?: number;
   readonly retryAfterMs?: number;
-  /** Number of the configuration that the request was routed under. */
+  /** Number of the configuration under which the request was routed. */
   readonly configuration?: number;
-  /** Requests that ran and waited at the endpoint, and its slots. */
+  /** Numbers of requests running and waiting at the endpoint, and of its slots. */
   readonly running?: number;
   readonly waiting?: number;
   readonly slots?: number;
-  /** Whether the request is late: it has failed to find room within its target latency. */
+  /** Whether the request is late: no endpoint had capacity to answer it within its target latency. */
   readonly isLate?: boolean;
-  /** Time that this attempt took. */
+  /** Duration of this attempt. */
   readonly attemptMs?: number;
-  /** Left until the request would have had to start; negative when that had passed. */
+  /** Time left until the latest possible start of the request; negative if that had passed. */
   readonly startLeftMs?: number;
-  /** How much longer than usual the request was on its way between the nodes. */
+  /** By how much the transit time of the request between the nodes exceeded the usual one. */
   readonly travelLostMs?: number;
-  /** What the request waited for. */
-  readonly waitedFor?: AwaitedThing;
-  /** What the request is known by at all machines, where endpoints ended under it. */
+  readonly waitedFor?: AwaitedResource;
+  /** Identifies the request on all machines, if endpoint processes ended while running it. */
   readonly fingerprint?: string;
   readonly detail?: string;
 }
 
-/** Codes of failures for which the log names the request's fingerprint: its copies have other ids. */
+/** Codes of failures for which the request's fingerprint is logged, since copies of the request have other ids. */
 const FINGERPRINTED_CODES: ReadonlySet<string> = new Set([
   'ENDPOINT_ENDED',
   'CONTAINED',
   'contained',
 ]);
 
-/** The fingerprint for a line of the log; nothing where the failure has nothing to do with it. */
-export function namedFingerprint(
+/** The fingerprint field of a log entry; empty if the failure is unrelated to the fingerprint. */
+export function fingerprintField(
   code: string,
   fingerprintOf: () => string,
 ): Pick<RequestDecision, 'fingerprint'> {
   return FINGERPRINTED_CODES.has(code) ? { fingerprint: fingerprintOf() } : {};
 }
 
-/** Takes decisions; must not block. */
+/** Receives decisions; `record` must not block. */
 export interface RequestLog {
   record(decision: RequestDecision): void;
 }
 
-/** Keeps nothing. */
+/** Discards all decisions. */
 export const NO_REQUEST_LOG: RequestLog = { record: () => undefined };
 
-/** Separates the caller's name for a request from the node's name for an attempt at it. */
+/** Separates the caller's request id from the node's own id in the prefix of attempt ids. */
 export const ATTEMPT_SEPARATOR = '/';
--- a/src/proxy/request-path.ts
+++ b/src/proxy/request-path.ts
@@ -1,4 +1,4 @@
-/** What the request path of a node needs, and what it offers. */
+/** Options and interface of a node's request path. */
 import type http from 'node:http';
 import type { CallContainment } from '../containment/containment.js';
 import type { CounterSink, RandomSource } from '../control/control-event.js';
@@ -13,7 +13,7 @@
 import type { RequestLog } from './request-log.js';
 import type { MemberDirectory } from './request-services.js';
 
-/** What the request path needs of its node. */
+/** Dependencies and settings of {@link RequestProxy}. */
 export interface RequestProxyOptions {
   readonly identity: PeerIdentity;
   readonly snapshots: { current(): Snapshot | undefined };
@@ -21,54 +21,54 @@
   readonly counters: CounterSink;
   readonly random: RandomSource;
   readonly limits?: Partial<ProxyLimits>;
-  /** What is known of requests under which endpoints ended; nothing is learnt of them when absent. */
+  /** Tracks requests during which endpoint processes ended; not tracked if absent. */
   readonly containment?: CallContainment;
-  /** Claims on idempotency keys; without them keys are passed on and mean nothing to the node. */
+  /** Claims on idempotency keys; if absent, the node forwards the keys without interpreting them. */
   readonly claims?: IdempotencyClaims;
-  /** Shared secret of the fleet; without one, whoever reaches the relay port may use it. */
+  /** Shared secret of the fleet; if absent, anyone who can connect to the relay port may use it. */
   readonly fleetKey?: Uint8Array;
-  /** How callers are spoken to; the product's own protocol when absent. */
+  /** Protocol for callers; the native one if absent. */
   readonly callerProtocol?: CallerProtocol;
-  /** How endpoints are spoken to; the product's own protocol when absent. */
+  /** Protocol for endpoints; the native one if absent. */
   readonly endpointProtocol?: EndpointProtocol;
-  /** Writes one line on a change of state. */
+  /** Logs a state change as one line. */
   readonly logStateChange: (what: string, detail: string) => void;
-  /** Takes decisions on requests; they are not kept when absent. */
+  /** Receives decisions on requests; they are discarded if absent. */
   readonly requestLog?: RequestLog;
-  /** Gets the time from the arrival of each caller's request to its end, in milliseconds. */
+  /** Receives the time from the arrival of each caller's request to its end, in milliseconds. */
   readonly onRequestMs?: (ms: number) => void;
-  /** Gets the time that an endpoint took for each whole answer, in milliseconds. */
+  /** Receives the time that an endpoint took for each complete answer, in milliseconds. */
   readonly onEndpointMs?: (ms: number) => void;
-  /** Gets how much longer than usual each relayed request was on its way, in milliseconds. */
+  /** Receives by how much the transit time of each relayed request exceeded the usual one, in milliseconds. */
   readonly onTravelLostMs?: (ms: number) => void;
-  /** Gets the time from the head of each relayed request to the end of its body, in milliseconds. */
+  /** Receives the time from the head of each relayed request to the end of its body, in milliseconds. */
   readonly onBodyMs?: (ms: number) => void;
-  /** Gets how long each request was held that was told an error, in milliseconds. */
+  /** Receives the time until an error was reported for each failed request, in milliseconds. */
   readonly onFailureMs?: (ms: number) => void;
-  /** Gets the time that each connection to a peer took to open or to fail, in milliseconds. */
+  /** Receives the time that each connection to a peer took to open or to fail, in milliseconds. */
   readonly onRelayConnectMs?: (ms: number) => void;
-  /** Gets how late the regular looks at the clock are, in milliseconds. */
+  /** Receives the delay of each periodic event-loop check, in milliseconds. */
   readonly onLoopDelayMs?: (ms: number) => void;
 }
 
-/** The request path; its owner listens on the two servers. */
+/** The request path of a node; the owner makes the two servers listen. */
 export interface RequestProxy {
   readonly callerServer: http.Server;
   readonly relayServer: http.Server;
-  /** Every endpoint of the configuration in force, as this node sees it. */
+  /** The state of every endpoint of the current configuration, as known to this node. */
   endpointStates(): EndpointStateReport[];
-  /** Endpoints beside this node that are cold, as far as it knows. */
+  /** Number of endpoints owned by this node that it considers cold. */
   coldEndpointCount(): number;
-  /** Takes the limits that the configuration sets; undefined leaves those of the node's settings. */
+  /** Applies the limits that the configuration sets; undefined leaves the limits unchanged. */
   applyCallerLimits(limits: CallerLimits | undefined): void;
-  /** The configuration in force has other endpoints: what waits for one that has started again is sent on. */
-  takeEndpoints(): void;
-  /** Machines whose nodes owe this one an answer. */
+  /** Applies changed endpoints of the configuration: requests waiting for one that has restarted are forwarded. */
+  applyEndpoints(): void;
+  /** Machines from whose nodes this node awaits an answer. */
   awaitedMachines(): Iterable<AwaitedMachine>;
-  /** Nothing is heard of a machine: what may be sent elsewhere is. */
-  machineIsSilent(machineId: string): void;
-  /** Planned stop: answers close their connections, requests in flight finish. */
+  /** Reacts to an unresponsive machine: requests that may be sent to another endpoint are. */
+  machineUnresponsive(machineId: string): void;
+  /** Performs a planned stop: answers close their connections, and requests in flight are completed. */
   stop(): Promise<void>;
-  /** Stop at once: connections are cut. */
+  /** Stops immediately and closes all connections. */
   abort(): void;
 }
--- a/src/proxy/request-policy.ts
+++ b/src/proxy/request-policy.ts
@@ -1,40 +1,39 @@
-/** How often a request may be sent, by its route, its caller and its node. Pure. */
+/** Limits on the attempts of a request, set by its route, its caller and its node. Pure. */
 import type { RequestContext } from './request-context.js';
 import { refusalLeadMs } from './refusal-lead.js';
 
-/** What the route, the caller and the node allow. */
+/** Retry and redirect limits of one request. */
 export interface RequestPolicy {
   /** Whether the request may run more than once. */
   readonly repeatable: boolean;
   readonly deadlineAtMs: number;
-  /** Attempts after the first, those of the receivers included. */
+  /** Attempts after the first, including those of the receivers. */
   readonly retries: number;
-  /** What the first attempt earns for the service's retry budget, in percent. */
+  /** Share of a retry that the first attempt adds to the service's retry budget, in percent. */
   readonly retryBudgetPercent: number;
   /**
-   * Further attempts that take nothing from the retries and their budget, since the failed one did
-   * not reach an endpoint.
+   * Further attempts after failures that did not reach an endpoint; they don't count towards the retries or the
+   * retry budget.
    */
   readonly redirects: number;
-  /** The same, after attempts at endpoints that are absent: these are no sign of load. */
+  /** Redirects after attempts at absent endpoints, which don't indicate load; counted separately from `redirects`. */
   readonly absentRedirects?: number;
-  /** The same, from when the request can only be answered late: so many at least are left then. */
+  /** Minimum number of redirects that remain once the request can't be answered within its target latency. */
   readonly lateRedirects?: number;
-  /** Until when an attempt may begin whose refusal is still heard of before the deadline; no bound if absent. */
+  /** Latest start of an attempt whose refusal would still arrive before the deadline; unlimited if absent. */
   readonly refusableUntilMs?: number;
 }
 
 /**
- * Time that an attempt needs for a refusal to be heard of, as a multiple of how long before the deadline
- * it comes: the way there and the way back.
+ * Time that an attempt needs to be sent and its refusal to arrive, as a multiple of the lead before the deadline with
+ * which the endpoint's node refuses requests: one lead for each direction.
  */
-const REFUSAL_LEADS = 2;
+const REFUSAL_LEAD_FACTOR = 2;
 
-/** The policy that a request's life goes by. */
 export function requestPolicyOf(context: RequestContext): RequestPolicy {
   const { services, match, retries, deadlineAtMs } = context;
   const { maxAttempts = Infinity } = match.route.spec;
-  const leadMs = REFUSAL_LEADS * refusalLeadMs(deadlineAtMs - services.scheduler.now());
+  const leadMs = REFUSAL_LEAD_FACTOR * refusalLeadMs(deadlineAtMs - services.scheduler.now());
   return {
     refusableUntilMs: deadlineAtMs - leadMs,
     repeatable: match.repeatable,
--- a/src/proxy/request-proxy.ts
+++ b/src/proxy/request-proxy.ts
@@ -1,4 +1,4 @@
-/** The request path of a node: callers' port, relay port and everything between. */
+/** The request path of a node: the caller port, the relay port, and everything in between. */
 import type http from 'node:http';
 import { LOOKS, type EndAction } from '../clock/shared-interval.js';
 import { NO_CONTAINMENT } from '../containment/containment.js';
@@ -33,25 +33,26 @@
 import { drainServers } from './server-drain.js';
 import { SocketPoll } from './socket-poll.js';
 
-/** Idle connections of callers are kept this much longer than the configuration says. */
-const IDLE_MARGIN = 1.25;
+/** Idle connections of callers are kept open longer than configured, by this factor and this constant. */
+const IDLE_MARGIN_FACTOR = 1.25;
 const IDLE_MARGIN_MS = 1_000;
-/** A delay of the event loop that is told in the log, in milliseconds: half of a usual target. */
-const LOGGED_LOOP_DELAY_MS = 100;
-/** A signal that waited for longer came while the process was frozen, in milliseconds. */
+/** Minimum event-loop delay that is logged, in milliseconds: half of a usual target latency. */
+const MIN_LOGGED_LOOP_DELAY_MS = 100;
+/** Upper bound for the age of a stop signal, in milliseconds; an older one arrived while the process was frozen. */
 const MAX_SIGNAL_AGE_MS = 1_500;
-/** Stands for the sender of a relayed request that proves no identity. */
-const UNNAMED_PEER = 'peer';
+/** Name for the sender of a relayed request if senders are not authenticated. */
+const ANONYMOUS_PEER = 'peer';
 
-/** Makes the request path of a node. */
 export function createRequestProxy(options: RequestProxyOptions): RequestProxy {
   return new NodeRequestProxy(options);
 }
 
 class NodeRequestProxy implements RequestProxy {
   readonly callerServer: http.Server;
-  private readonly callerConnections = new CallerConnections((end) => this.countConnectionEnd(end));
-  private readonly answers: AnswerCollection;
+  private readonly callerConnections = new CallerConnections((end) =>
+    this.recordConnectionEnd(end),
+  );
+  private readonly shutdownBuffering: AnswerCollection;
   private readonly relay: RelayServer;
   private readonly limits: ProxyLimits;
   private readonly callerProtocol: CallerProtocol;
@@ -60,20 +61,20 @@
   private readonly gateway: EndpointGateway;
   private readonly endpointClient: EndpointClient;
   private readonly relayClient: RelayClient;
-  private readonly pauses: PauseDetector;
+  private readonly pauseDetector: PauseDetector;
   private readonly lateness = new LoopLateness();
-  private readonly poll = new SocketPoll();
-  private readonly endLooks: EndAction;
+  private readonly socketPoll = new SocketPoll();
+  private readonly stopTicking: EndAction;
   private readonly meter = new CallMeter(() => MACHINE_TIME.now());
   private readonly plannedStop: PlannedStop;
   private readonly intake: RequestIntake;
   private isAborted = false;
-  /** Longest time for which a configuration has let idle connections be kept, in milliseconds. */
-  private longestKeptMs = 0;
+  /** Longest keep-alive time that any configuration has set so far, in milliseconds. */
+  private longestKeepAliveMs = 0;
 
   constructor(private readonly options: RequestProxyOptions) {
     this.limits = { ...DEFAULT_PROXY_LIMITS, ...options.limits };
-    this.answers = new AnswerCollection(this.limits.maxHeldBytes);
+    this.shutdownBuffering = new AnswerCollection(this.limits.maxHeldBytes);
     this.plannedStop = new PlannedStop({
       ...this.limits,
       stopCloseMs: RELAY_CLOSE_TIMEOUT_MS,
@@ -120,12 +121,12 @@
       meter: this.meter,
       stop: this.plannedStop,
     });
-    this.pauses = new PauseDetector(
+    this.pauseDetector = new PauseDetector(
       MACHINE_TIME.now(),
-      (ms) => this.takeLoopDelay(ms),
+      (ms) => this.recordLoopDelay(ms),
       (action) => this.afterRead(action),
     );
-    this.endLooks = LOOKS.add(() => this.look());
+    this.stopTicking = LOOKS.add(() => this.tick());
     this.callerServer = this.makeCallerServer();
     this.relay = this.makeRelayServer();
   }
@@ -150,17 +151,17 @@
   }
 
   /**
-   * Idle connections are kept for longer than callers may use them, so that none is closed under a
-   * request; one that has sent nothing yet counts as idle. A shorter time of a later configuration does not
-   * count, since callers may not know it yet, nor does the time before any configuration: connections that
-   * went silent for good would be kept for it.
+   * Idle connections are kept open for longer than callers may reuse them, so that none is closed while a request
+   * arrives on it; a connection that has sent nothing yet counts as idle. A later configuration can't shorten the
+   * time, since callers may not know it yet. The default before the first configuration is ignored, because
+   * connections whose peers have vanished would be kept for that long.
    */
   applyCallerLimits(limits: CallerLimits | undefined): void {
     if (limits !== undefined) {
-      const keptMs = limits.idleTimeoutMs * IDLE_MARGIN + IDLE_MARGIN_MS;
-      this.longestKeptMs = Math.max(this.longestKeptMs, keptMs);
-      this.callerServer.keepAliveTimeout = this.longestKeptMs;
-      this.callerServer.headersTimeout = Math.max(limits.headerTimeoutMs, keptMs);
+      const keepAliveMs = limits.idleTimeoutMs * IDLE_MARGIN_FACTOR + IDLE_MARGIN_MS;
+      this.longestKeepAliveMs = Math.max(this.longestKeepAliveMs, keepAliveMs);
+      this.callerServer.keepAliveTimeout = this.longestKeepAliveMs;
+      this.callerServer.headersTimeout = Math.max(limits.headerTimeoutMs, keepAliveMs);
     }
   }
 
@@ -168,7 +169,7 @@
     return this.gateway.coldCount;
   }
 
-  takeEndpoints(): void {
+  applyEndpoints(): void {
     this.gateway.takeOwn(this.ownEndpoints());
   }
 
@@ -187,7 +188,7 @@
     return this.services.awaited.machines();
   }
 
-  machineIsSilent(machineId: string): void {
+  machineUnresponsive(machineId: string): void {
     const address = this.options.members.relayAddress(machineId);
     if (address !== undefined) {
       this.relayClient.forget(address);
@@ -198,10 +199,16 @@
   async stop(): Promise<void> {
     const { logStateChange } = this.options;
     let givenUp = 0;
-    const signalAgeMs = Math.min(this.pauses.signalAgeMs(MACHINE_TIME.now()), MAX_SIGNAL_AGE_MS);
-    this.answers.begin();
-    const heard = `heard of at most ${Math.round(signalAgeMs)} ms after its signal`;
-    logStateChange('request-path', `stopping with ${this.meter.inFlight} in flight, ${heard}`);
+    const signalAgeMs = Math.min(
+      this.pauseDetector.signalAgeMs(MACHINE_TIME.now()),
+      MAX_SIGNAL_AGE_MS,
+    );
+    this.shutdownBuffering.begin();
+    const signalDelay = `signal sent at most ${Math.round(signalAgeMs)} ms ago`;
+    logStateChange(
+      'request-path',
+      `stopping with ${this.meter.inFlight} in flight, ${signalDelay}`,
+    );
     await drainServers([this.callerServer, this.relayServer], {
       stop: this.plannedStop,
       signalAgeMs,
@@ -239,7 +246,7 @@
       server.closeAllConnections();
     }
     this.relay.destroy();
-    this.endLooks();
+    this.stopTicking();
     this.endpointClient.close();
     this.relayClient.close();
     this.options.logStateChange('request-path', 'stopped');
@@ -253,16 +260,16 @@
     return givenUp;
   }
 
-  private look(): void {
-    this.pauses.tick(MACHINE_TIME.now());
+  private tick(): void {
+    this.pauseDetector.tick(MACHINE_TIME.now());
     this.relayClient.look();
     this.relay.look();
     this.gateway.look();
   }
 
-  private takeRelaySilence(where: string, { awaitedCount, quietMs }: LinkSilence): void {
+  private reportRelaySilence(where: string, { awaitedCount, quietMs }: LinkSilence): void {
     this.options.counters.add('ferryspool_relay_silent_total');
-    const detail = `${where}: ${awaitedCount} requests, nothing heard for ${Math.round(quietMs)} ms`;
+    const detail = `${where}: ${awaitedCount} requests, no data received for ${Math.round(quietMs)} ms`;
     this.options.logStateChange('relay-silent', detail);
   }
 
@@ -280,7 +287,7 @@
           this.options.logStateChange('relay-not-connected', detail);
         }
       },
-      onSilence: ({ address }, silence) => this.takeRelaySilence(`to ${address}`, silence),
+      onSilence: ({ address }, silence) => this.reportRelaySilence(`to ${address}`, silence),
       isListed: (endpoint) => this.isListed(endpoint),
       addressOf: ({ spec }) =>
         spec.machine === undefined ? undefined : members.relayAddress(spec.machine),
@@ -290,7 +297,7 @@
   private isListed(endpoint: Endpoint): boolean {
     const { endpointsByService } = this.options.snapshots.current() ?? {};
     const listed = endpointsByService?.get(endpoint.spec.service) ?? [];
-    return listed.some((one) => incarnationOf(one) === incarnationOf(endpoint));
+    return listed.some((candidate) => incarnationOf(candidate) === incarnationOf(endpoint));
   }
 
   private makeCallerServer(): http.Server {
@@ -303,12 +310,12 @@
         this.options.counters.add(`ferryspool_request_errors_${code.toLowerCase()}_total`);
       },
       connections: this.callerConnections,
-      collection: this.answers,
+      collection: this.shutdownBuffering,
       handle: (request, response) => this.intake.handle(request, response),
     });
   }
 
-  private countConnectionEnd({ reason, cutCount, unsentBytes }: ConnectionEnd): void {
+  private recordConnectionEnd({ reason, cutCount, unsentBytes }: ConnectionEnd): void {
     const name = reason.replaceAll('-', '_');
     this.options.counters.add(`ferryspool_caller_connections_ended_${name}_total`);
     if (cutCount > 0) {
@@ -329,13 +336,13 @@
       verifyToken: (token) => this.verifyToken(token),
       snapshot: () => this.options.snapshots.current(),
       endpoints: this.gateway,
-      hasJustWoken: () => this.pauses.hasJustWoken(MACHINE_TIME.now()),
+      hasJustWoken: () => this.pauseDetector.hasJustWoken(MACHINE_TIME.now()),
       afterRead: (action) => this.afterRead(action),
       isStopping: () => this.plannedStop.isStopping,
       refusesNewWork: () => this.plannedStop.refusesNewWork(MACHINE_TIME.now()),
       deadlineWithin: (deadlineAtMs) => this.plannedStop.deadlineWithin(deadlineAtMs),
       requestLog: this.options.requestLog ?? NO_REQUEST_LOG,
-      onSilence: (from, silence) => this.takeRelaySilence(`from ${from}`, silence),
+      onSilence: (from, silence) => this.reportRelaySilence(`from ${from}`, silence),
       began: () => this.meter.begin(),
       onTravelLostMs: this.options.onTravelLostMs,
       onBodyMs: this.options.onBodyMs,
@@ -343,20 +350,20 @@
   }
 
   private afterRead(action: () => void): void {
-    void this.poll.renew().then(action);
+    void this.socketPoll.renew().then(action);
   }
 
-  private takeLoopDelay(delayMs: number): void {
+  private recordLoopDelay(delayMs: number): void {
     this.lateness.add(delayMs, MACHINE_TIME.now());
     this.options.onLoopDelayMs?.(delayMs);
-    if (delayMs >= LOGGED_LOOP_DELAY_MS) {
+    if (delayMs >= MIN_LOGGED_LOOP_DELAY_MS) {
       this.options.logStateChange('event-loop-late', `${Math.round(delayMs)} ms`);
     }
   }
 
-  /** The sender of a relayed request; any sender is taken where the fleet has no key. */
+  /** Returns the sender of a relayed request; any sender is accepted if the fleet has no key. */
   private verifyToken(token: string | undefined): string | undefined {
     const { fleetKey } = this.options;
-    return fleetKey === undefined ? UNNAMED_PEER : verifyRelayToken(fleetKey, token, Date.now());
+    return fleetKey === undefined ? ANONYMOUS_PEER : verifyRelayToken(fleetKey, token, Date.now());
   }
 }
--- a/src/proxy/request-runner.ts
+++ b/src/proxy/request-runner.ts
@@ -22,7 +22,7 @@
   TruncatedAnswerError,
   type RequestFailure,
 } from './request-error.js';
-import { namedFingerprint, type AwaitedThing, type RequestDecisionName } from './request-log.js';
+import { fingerprintField, type AwaitedResource, type RequestDecisionName } from './request-log.js';
 import { RequestLifecycle, type RequestEffect, type RequestEvent } from './request-lifecycle.js';
 import { requestPolicyOf } from './request-policy.js';
 import { RequestStanding } from './request-standing.js';
@@ -32,24 +32,23 @@
 import type { RequestContext } from './request-context.js';
 import { requestDecision, type DecisionDetails } from './request-decision.js';
 
-/** When to come back after no endpoint had room, in milliseconds. */
+/** Retry delay for callers when no endpoint has capacity, in milliseconds. */
 const NO_ENDPOINT_RETRY_MS = 200;
-/** Answers from this status on report a fault of the endpoint. */
+/** Answers with this HTTP status or a higher one report an endpoint error. */
 const FAULT_STATUS = 500;
-/** For an answer with which the request is over whatever becomes of it. */
-const IGNORED_END: AnswerObserver = { whole: () => undefined, broken: () => undefined };
+/** Observer for an answer that ends the request whether or not it is sent completely. */
+const IGNORE_END: AnswerObserver = { whole: () => undefined, broken: () => undefined };
 
-/** One caller's request under way. */
 export class RequestRunner {
   private readonly lifecycle: RequestLifecycle;
-  private readonly choice: EndpointChoice;
+  private readonly endpointChoice: EndpointChoice;
   private isExpired = false;
   /** Number of the latest attempt. */
   private attemptNumber = 0;
-  /** Those under way, by number. */
+  /** Attempts in flight, by number. */
   private readonly attempts = new Map<number, RequestAttempt>();
-  /** An answer that reports a fault, for the case that no other attempt does better. */
-  private keptFault: Answer | undefined;
+  /** An answer that reports an endpoint error; sent if no other attempt succeeds. */
+  private bufferedFault: Answer | undefined;
   private body: RequestBody | undefined;
   private standing: RequestStanding | undefined;
   private readonly startedAtMs: number;
@@ -64,26 +63,31 @@
     const { targetLatencyMs } = match.route.spec;
     const targetAtMs =
       targetLatencyMs === undefined ? undefined : this.startedAtMs + targetLatencyMs;
-    this.choice = new EndpointChoice(targetAtMs, () => this.handle({ type: 'target-missed' }));
+    this.endpointChoice = new EndpointChoice(targetAtMs, () =>
+      this.handle({ type: 'target-missed' }),
+    );
     const remainingMs = deadlineAtMs - services.scheduler.now();
-    this.cancelDeadline = services.scheduler.schedule(remainingMs, () => this.expire());
-    context.response.onClose((isWhole, reason) => this.close(isWhole, reason));
+    this.cancelDeadline = services.scheduler.schedule(remainingMs, () => this.handleDeadline());
+    context.response.onClose((isComplete, reason) => this.handleClose(isComplete, reason));
   }
 
-  /** Begins the first attempt, unless the request is over already. */
+  /** Begins the first attempt, unless the request is already over. */
   start(body: RequestBody): void {
     this.body = body;
     this.standing = new RequestStanding(this.context, body);
     this.handle({ type: 'start' });
   }
 
-  /** Ends the request before its first attempt. */
+  /** Fails the request before its first attempt. */
   refuse(error: RequestError): void {
-    this.finish();
+    this.cleanUp();
     this.context.response.fail(error, error.verdict, this.context.requestId);
   }
 
-  /** The node stops: the caller is told what is known. False when the answer has begun to go out. */
+  /**
+   * Ends the request because the node is stopping, and reports its verdict to the caller. Returns false if the request
+   * is over or part of its answer has been sent.
+   */
   giveUp(): boolean {
     const { response } = this.context;
     const wasPassedOn = response.hasBegun();
@@ -92,13 +96,15 @@
     }
     const isUnsent = this.isUnsent();
     const failure = stopFailure(isUnsent);
-    this.record('request-given-up', failure, failure.verdict, { waitedFor: this.awaitedThing() });
+    this.record('request-given-up', failure, failure.verdict, {
+      waitedFor: this.awaitedResource(),
+    });
     this.handle({ type: 'give-up', failure, isUnsent, wasPassedOn });
     return true;
   }
 
-  private awaitedThing(): AwaitedThing {
-    if (this.body?.isWhole() !== true) {
+  private awaitedResource(): AwaitedResource {
+    if (this.body?.isComplete() !== true) {
       return 'body';
     }
     const latest = [...this.attempts.values()].at(-1);
@@ -111,7 +117,7 @@
     return latest.isPeerAwaited ? 'peer' : 'endpoint';
   }
 
-  /** Whether no endpoint can have got the request from an attempt that is under way. */
+  /** Whether no endpoint can have received the request from any attempt in flight. */
   private isUnsent(): boolean {
     return [...this.attempts.values()].every((attempt) => attempt.isUnsent());
   }
@@ -135,11 +141,11 @@
       case 'pass-answer':
         return this.passAnswer(effect.attempt);
       case 'discard-answer':
-        return this.keepFault(effect.attempt);
+        return this.bufferFault(effect.attempt);
       case 'report':
         return this.report(effect.failure, effect.verdict);
       case 'break-connection':
-        this.finish();
+        this.cleanUp();
         return this.context.response.breakConnection();
     }
   }
@@ -168,42 +174,45 @@
       this.handle({ type: 'no-endpoint', attempt, failure });
       return;
     }
-    this.choice.began(incarnationOf(endpoint));
-    const begun = new RequestAttempt(attempt, this.context, endpoint, (one) => this.suspect(one));
-    this.attempts.set(attempt, begun);
+    this.endpointChoice.began(incarnationOf(endpoint));
+    const requestAttempt = new RequestAttempt(attempt, this.context, endpoint, (suspect) =>
+      this.handleSuspicion(suspect),
+    );
+    this.attempts.set(attempt, requestAttempt);
     const call = callOf(this.context, this.body, {
       attempt,
       retriesLeft,
       startedAtMs: this.startedAtMs,
-      attemptStartedAtMs: begun.endpoint.startedAtMs,
-      isLate: this.choice.isLate,
+      attemptStartedAtMs: requestAttempt.endpoint.startedAtMs,
+      isLate: this.endpointChoice.isLate,
     });
-    const submitted = path.submit(endpoint, call, {
-      answered: (answer) => this.takeAnswer(begun, answer),
-      failed: (error, load) => this.takeFailure(begun, error, load),
-      suspected: (sign) => begun.suspected(sign),
+    const submission = path.submit(endpoint, call, {
+      answered: (answer) => this.handleAnswer(requestAttempt, answer),
+      failed: (error, load) => this.handleFailure(requestAttempt, error, load),
+      suspected: (suspicion) => requestAttempt.markSuspected(suspicion),
     });
-    begun.wasSubmitted(submitted);
+    requestAttempt.setSubmission(submission);
   }
 
   private chooseEndpoint(): Endpoint | undefined {
     const { services, snapshot, match } = this.context;
-    const trial = this.standing?.trial;
-    return this.choice.next(services.scheduler.now(), (tried, isLate) =>
-      services.chooseEndpoint(snapshot, match, tried, isLate, trial),
+    const trialFingerprint = this.standing?.trialFingerprint;
+    return this.endpointChoice.next(services.scheduler.now(), (tried, isLate) =>
+      services.chooseEndpoint(snapshot, match, tried, isLate, trialFingerprint),
     );
   }
 
   /**
-   * What may run more than once is tried elsewhere too, and what has provably not reached its endpoint is
-   * tried there instead; a body that only one attempt can send leaves no choice, nor does a request that may
-   * end what runs it.
+   * Hedges a request that may run more than once, and replaces an attempt that has provably not reached its endpoint.
+   * There is no hedging if only one attempt can send the body, or if the request is accused of ending the endpoint
+   * processes that run it.
    */
-  private suspect(suspect: RequestAttempt): void {
+  private handleSuspicion(suspect: RequestAttempt): void {
     const { number: attempt } = suspect;
     const isUnsent = suspect.isUnsent();
-    const isHedged = this.body?.isHeld === true && this.standing?.trial === undefined;
-    const canReplay = this.canReplay() && (isUnsent || isHedged);
+    const mayHedge =
+      this.body?.isBuffered === true && this.standing?.trialFingerprint === undefined;
+    const canReplay = this.canReplay() && (isUnsent || mayHedge);
     const failure = silenceError(isUnsent);
     const nowMs = this.context.services.scheduler.now();
     const effects = this.lifecycle.handle(
@@ -219,15 +228,19 @@
     failure: RequestError,
     effects: readonly RequestEffect[],
   ): void {
-    const { sign } = suspect;
+    const { suspicion } = suspect;
     const next = nextOf(effects);
-    this.record('attempt-suspected', failure, failure.verdict, { attempt: suspect, sign, next });
+    this.record('attempt-suspected', failure, failure.verdict, {
+      attempt: suspect,
+      suspicion,
+      next,
+    });
   }
 
-  private takeAnswer(attempt: RequestAttempt, answer: Answer): void {
-    attempt.answered(answer);
+  private handleAnswer(attempt: RequestAttempt, answer: Answer): void {
+    attempt.recordAnswer(answer);
     if (answer.status < FAULT_STATUS) {
-      attempt.endpoint.measureLatency(this.choice.isLate);
+      attempt.endpoint.measureLatency(this.endpointChoice.isLate);
     }
     const fault = this.faultOf(answer);
     this.handle({
@@ -238,29 +251,34 @@
   }
 
   private faultOf(answer: Answer): RequestError | undefined {
-    const isRetried = this.context.services.limits.retriesFaults && this.canReplay();
-    return isRetried && answer.status >= FAULT_STATUS
+    const mayRetry = this.context.services.limits.retriesFaults && this.canReplay();
+    return mayRetry && answer.status >= FAULT_STATUS
       ? new EndpointFaultError(`the endpoint answered ${answer.status}`)
       : undefined;
   }
 
-  /** An answer that reports a fault is kept: no other attempt may do better. */
-  private keepFault(number: number): void {
+  /** Buffers an answer that reports an endpoint error, in case no other attempt succeeds. */
+  private bufferFault(number: number): void {
     const answer = this.attempts.get(number)?.answer;
     if (answer !== undefined) {
-      keepAnswer(answer, this.context.services.limits.maxHeldAnswerBytes, (kept) => {
-        this.keptFault = kept;
+      keepAnswer(answer, this.context.services.limits.maxHeldAnswerBytes, (buffered) => {
+        this.bufferedFault = buffered;
       });
     }
     this.endAttempt(number, 'failed');
   }
 
-  /** An answer that an endpoint made goes before an error of the node. */
+  /** Replies with an endpoint's buffered error answer if there is one, otherwise with an error of the node. */
   private report(failure: RequestFailure, verdict: Verdict): void {
     const { response, requestId, services } = this.context;
-    this.finish();
-    if (this.keptFault !== undefined) {
-      response.answer(this.keptFault, requestId, services.limits.maxHeldAnswerBytes, IGNORED_END);
+    this.cleanUp();
+    if (this.bufferedFault !== undefined) {
+      response.answer(
+        this.bufferedFault,
+        requestId,
+        services.limits.maxHeldAnswerBytes,
+        IGNORE_END,
+      );
       return;
     }
     this.record('request-failed', failure, verdict);
@@ -269,33 +287,37 @@
     response.fail(error, verdict, requestId);
   }
 
-  private takeFailure(
+  private handleFailure(
     attempt: RequestAttempt,
     error: RequestError,
     load: LoadReport | undefined,
   ): void {
-    attempt.failed(error, load);
-    this.record('attempt-failed', error, error.verdict, { attempt, load, sign: attempt.sign });
-    this.rememberRefusal(attempt, error);
-    this.standing?.attemptFailed(error);
+    attempt.recordFailure(error, load);
+    this.record('attempt-failed', error, error.verdict, {
+      attempt,
+      load,
+      suspicion: attempt.suspicion,
+    });
+    this.recordRefusal(attempt, error);
+    this.standing?.recordFailure(error);
     this.endAttempt(attempt.number, outcomeOf(error));
     if (load?.serviceMs !== undefined) {
-      this.choice.noteServiceMs(load.serviceMs);
+      this.endpointChoice.noteServiceMs(load.serviceMs);
     }
-    this.choice.checkTarget(this.context.services.scheduler.now());
+    this.endpointChoice.checkTarget(this.context.services.scheduler.now());
     const canReplay = this.canReplay();
     this.handle({ type: 'failed', attempt: attempt.number, failure: error, canReplay });
   }
 
-  private rememberRefusal({ endpoint }: RequestAttempt, error: RequestError): void {
+  private recordRefusal({ endpoint }: RequestAttempt, error: RequestError): void {
     const { code } = error;
-    const isForLackOfRoom = code === 'CANNOT_FINISH_IN_TIME' || code === 'OVERLOADED';
+    const isCapacityRefusal = code === 'CANNOT_FINISH_IN_TIME' || code === 'OVERLOADED';
     const { incarnation } = endpoint;
-    if (incarnation !== undefined && isForLackOfRoom) {
-      this.choice.refusedBy(incarnation);
+    if (incarnation !== undefined && isCapacityRefusal) {
+      this.endpointChoice.refusedBy(incarnation);
     }
-    if (isForLackOfRoom || code === 'ENDPOINT_EVACUATED') {
-      endpoint.refused(error, this.choice.isLate);
+    if (isCapacityRefusal || code === 'ENDPOINT_EVACUATED') {
+      endpoint.refused(error, this.endpointChoice.isLate);
     }
   }
 
@@ -309,34 +331,43 @@
       whole: () => {
         this.endAttempt(attempt, answer.status >= FAULT_STATUS ? 'failed' : 'answered');
         this.handle({ type: 'answer-whole', attempt });
-        this.finish();
+        this.cleanUp();
       },
       broken: (wasPassedOn) => {
         this.endAttempt(attempt, 'failed');
         const failure = new TruncatedAnswerError('the answer broke off');
         const canReplay = this.canReplay();
-        this.handle({ type: 'answer-broken', attempt, failure, wasPassedOn, canReplay });
+        this.handle({
+          type: 'answer-broken',
+          attempt,
+          failure,
+          wasPassedOn,
+          canReplay,
+        });
       },
     });
   }
 
   private abortAttempt(number: number): void {
     const attempt = this.attempts.get(number);
-    if (attempt?.sign !== undefined && attempt.answer === undefined) {
+    if (attempt?.suspicion !== undefined && attempt.answer === undefined) {
       this.recordCancelled(attempt);
     }
     attempt?.abort(this.isExpired);
     this.attempts.delete(number);
   }
 
-  /** One that was waited for although nothing was heard of it. */
+  /** Logs the cancellation of an attempt that was still awaited although it was suspected. */
   private recordCancelled(attempt: RequestAttempt): void {
     const error = silenceError(attempt.isUnsent());
-    this.record('attempt-cancelled', error, error.verdict, { attempt, sign: attempt.sign });
+    this.record('attempt-cancelled', error, error.verdict, {
+      attempt,
+      suspicion: attempt.suspicion,
+    });
   }
 
   private endAttempt(number: number, outcome: AttemptOutcome): void {
-    this.attempts.get(number)?.ended(outcome);
+    this.attempts.get(number)?.end(outcome);
     this.attempts.delete(number);
   }
 
@@ -356,13 +387,19 @@
       endpoint: endpoint?.name,
       startedAtMs: this.startedAtMs,
       attemptStartedAtMs: endpoint?.startedAtMs ?? this.startedAtMs,
-      isLate: this.choice.isLate,
+      isLate: this.endpointChoice.isLate,
       nowMs: services.scheduler.now(),
     };
     const { standing } = this;
-    const named = standing && namedFingerprint(failure.code, () => standing.fingerprint);
+    const fingerprint = standing && fingerprintField(failure.code, () => standing.fingerprint);
     services.requestLog.record(
-      requestDecision(this.context, progress, { event, failure, verdict, ...details, ...named }),
+      requestDecision(this.context, progress, {
+        event,
+        failure,
+        verdict,
+        ...details,
+        ...fingerprint,
+      }),
     );
   }
 
@@ -370,25 +407,25 @@
     return this.body?.isReplayable() === true;
   }
 
-  private expire(): void {
+  private handleDeadline(): void {
     this.isExpired = true;
-    this.attempts.forEach(({ endpoint }) => endpoint.measureLatency(this.choice.isLate));
+    this.attempts.forEach(({ endpoint }) => endpoint.measureLatency(this.endpointChoice.isLate));
     const isUnsent = this.attempts.size > 0 && this.isUnsent();
     const failure = expiryFailure(this.body !== undefined, isUnsent);
     this.handle({ type: 'deadline', failure });
   }
 
-  private close(isWhole: boolean, reason?: ConnectionEndReason): void {
-    if (!isWhole && !this.lifecycle.isOver) {
-      this.recordEnd('request-abandoned', reason);
+  private handleClose(isComplete: boolean, reason?: ConnectionEndReason): void {
+    if (!isComplete && !this.lifecycle.isOver) {
+      this.recordConnectionEnd('request-abandoned', reason);
       this.handle({ type: 'caller-gone' });
-    } else if (!isWhole && reason !== 'caller') {
-      this.recordEnd('answer-cut', reason);
+    } else if (!isComplete && reason !== 'caller') {
+      this.recordConnectionEnd('answer-cut', reason);
     }
-    this.finish();
+    this.cleanUp();
   }
 
-  private recordEnd(
+  private recordConnectionEnd(
     event: 'request-abandoned' | 'answer-cut',
     endedBy?: ConnectionEndReason,
   ): void {
@@ -396,8 +433,8 @@
     this.record(event, error, error.verdict, { endedBy });
   }
 
-  private finish(): void {
-    this.attempts.forEach((attempt) => attempt.stopAwaiting());
+  private cleanUp(): void {
+    this.attempts.forEach((attempt) => attempt.stopAwaitingPeer());
     this.cancelDeadline();
     this.cancelBackOff?.();
   }
--- a/src/proxy/request-services.ts
+++ b/src/proxy/request-services.ts
@@ -1,4 +1,4 @@
-/** What the requests of a node share: choice of endpoints, ways to them, budgets. */
+/** State and services shared by the requests of a node: endpoint selection, endpoint paths, retry budgets. */
 import { NO_CONTAINMENT, type CallContainment } from '../containment/containment.js';
 import type { CounterSink, RandomSource } from '../control/control-event.js';
 import type { PeerIdentity } from '../membership/peer-identity.js';
@@ -19,45 +19,44 @@
 import { workProfileOf } from './request-work.js';
 import type { Scheduler } from './scheduler.js';
 
-/** Part of the fleet's saved retries that is dealt out to the nodes that are known. */
+/** Share of the fleet's saved retries that is divided among the known nodes. */
 const SAVED_RETRIES_SHARE = 0.9;
 
-/** What the node knows of its peers. */
+/** What the node knows about its peers. */
 export interface MemberDirectory {
   status(machineId: string): MemberStatus | 'unknown';
   relayAddress(machineId: string): RelayAddress | undefined;
-  /** Members not known to be dead, this node among them. */
+  /** Number of members not known to be dead, including this node. */
   count(): number;
-  /** The machine's node answered, if only with a refusal. */
-  heard?(machineId: string): void;
+  /** Records a response of the machine's node, even if it is only a refusal. */
+  recordResponse?(machineId: string): void;
 }
 
-/** Parts that the requests of a node share. */
+/** Dependencies and settings of {@link RequestServices}. */
 export interface RequestServicesOptions {
   readonly identity: PeerIdentity;
   readonly members: MemberDirectory;
-  /** The configuration in force; requests see the endpoints that they began with when absent. */
+  /** The current configuration; if absent, requests use the endpoints of the configuration that they started with. */
   readonly snapshots?: { current(): Snapshot | undefined };
   readonly counters: CounterSink;
   readonly random: RandomSource;
   readonly scheduler: Scheduler;
   readonly requestLog?: RequestLog;
-  /** What is known of requests under which endpoints ended; nothing is known when absent. */
+  /** Tracks requests during which endpoint processes ended; not tracked if absent. */
   readonly containment?: CallContainment;
   readonly limits: ProxyLimits;
-  /** Cost of the way over another node in the choice of an endpoint; the default when absent. */
+  /** Cost of a relay hop in endpoint selection; the default if absent. */
   readonly hopCost?: number;
-  /** Gets how long each request was held that was told an error, in milliseconds. */
+  /** Receives the time until an error was reported for each failed request, in milliseconds. */
   readonly onFailureMs?: (ms: number) => void;
-  /** Whether the node is in a planned stop. */
+  /** Whether the node is in a planned stop; never if absent. */
   readonly isStopping?: () => boolean;
-  /** The way to endpoints that this node reaches itself. */
+  /** Path to endpoints that this node connects to directly. */
   readonly direct: EndpointPath;
-  /** The way over the node beside the endpoint. */
+  /** Path through the node that owns the endpoint. */
   readonly relay: EndpointPath;
 }
 
-/** Shared by the requests of one node. */
 export class RequestServices {
   readonly selector: EndpointSelector;
   readonly awaited = new AwaitedAttempts();
@@ -88,15 +87,15 @@
   }
 
   /**
-   * The endpoint for the next attempt, or undefined. A request on `trial`, by its fingerprint, gets the
-   * same one at every node.
+   * Chooses the endpoint for the next attempt; undefined if there is none. With `trialFingerprint`, every node chooses
+   * the same endpoint for the request.
    */
   chooseEndpoint(
     snapshot: Snapshot,
     match: RouteMatch,
     tried: ReadonlySet<string>,
     isLate: boolean,
-    trial?: string,
+    trialFingerprint?: string,
   ): Endpoint | undefined {
     const { zone, region } = this.options.identity;
     const context = {
@@ -109,13 +108,14 @@
       mayReceive: (endpoint: Endpoint) => this.pathTo(endpoint) !== undefined,
     };
     const all = this.endpointsOf(snapshot, match.service);
-    const endpoints = trial === undefined ? all : trialEndpoints(all, trial, tried);
+    const endpoints =
+      trialFingerprint === undefined ? all : trialEndpoints(all, trialFingerprint, tried);
     return this.selector.choose(endpoints, context, this.scheduler.now());
   }
 
   /**
-   * A request keeps its routes, but an attempt is made at an endpoint that exists by then: one that has
-   * started again may get what it has not run.
+   * Returns the endpoints of the current configuration, although a request keeps the routes that it started with: an
+   * endpoint that has restarted in the meantime can then get requests that it has not run.
    */
   endpointsOf(snapshot: Snapshot, service: string): readonly Endpoint[] {
     const current = this.options.snapshots?.current();
@@ -123,7 +123,7 @@
     return endpointsByService.get(service) ?? [];
   }
 
-  /** The way to an endpoint, or undefined when it may get no new work from this node. */
+  /** Returns the path to an endpoint, or undefined if this node may not send it new requests. */
   pathTo(endpoint: Endpoint): EndpointPath | undefined {
     const { machine } = endpoint.spec;
     if (machine === undefined || machine === this.machineId) {
@@ -140,7 +140,7 @@
     return this.slotsFor(endpoint) > 0 ? this.options.direct : undefined;
   }
 
-  /** Requests at once that this node may send to an endpoint itself. */
+  /** Number of concurrent requests that this node may send to an endpoint directly. */
   slotsFor(endpoint: Endpoint): number {
     const { machine } = endpoint.spec;
     if (machine === this.machineId) {
@@ -152,26 +152,25 @@
       : orphanSlots(endpoint, this.machineId, nodeCount);
   }
 
-  /** Which part of what a cold endpoint bears this node may send. */
+  /** This node's share of the load that a cold endpoint can handle, from 0 to 1. */
   coldShareFor(endpoint: Endpoint): number {
     return coldShare(endpoint, this.machineId, this.options.members.count());
   }
 
-  /** This node's part of the retries that may be saved up; a tenth is kept for nodes that join. */
+  /** This node's share of the retries that may be saved up; a tenth of the total is reserved for nodes that join. */
   private savedRetries(): number {
     const { maxSavedRetries, fleetSavedRetries = Infinity } = this.limits;
     const share = (fleetSavedRetries * SAVED_RETRIES_SHARE) / this.options.members.count();
     return Math.min(maxSavedRetries, Math.max(1, Math.floor(share)));
   }
 
-  /** The machine whose node an attempt goes over; undefined for the endpoints beside this node. */
+  /** The machine whose node relays attempts to the endpoint; undefined for endpoints on this node's machine. */
   relayMachineOf({ spec }: Endpoint): string | undefined {
     return spec.machine === this.machineId ? undefined : spec.machine;
   }
 
-  /** The machine's node answered. */
-  heard(machineId: string): void {
-    this.options.members.heard?.(machineId);
+  recordResponse(machineId: string): void {
+    this.options.members.recordResponse?.(machineId);
   }
 
   retryBudgetOf(service: string): RetryBudget {
--- a/src/proxy/request-standing.ts
+++ b/src/proxy/request-standing.ts
@@ -1,4 +1,4 @@
-/** What stands against a caller's request at its node, since endpoints ended while they ran it. */
+/** Decides whether a caller's request may be attempted after endpoint processes ended while running it. */
 import type { FingerprintedParts } from '../containment/request-fingerprint.js';
 import { CRASHES_TO_ACCUSE } from '../containment/suspicion.js';
 import { containedError } from './attempt-errors.js';
@@ -6,10 +6,10 @@
 import type { RequestBody } from './request-body.js';
 import type { RequestError } from './request-error.js';
 
-/** The standing of one request, from its body on. */
+/** Containment standing of one request; available once its body can be sent. */
 export class RequestStanding {
   private readonly parts: FingerprintedParts;
-  /** Endpoints that ended under this very request; other nodes may not have told of them yet. */
+  /** Endpoint processes that ended during attempts of this request; other nodes may not have reported them yet. */
   private endedCount = 0;
 
   constructor(
@@ -20,19 +20,19 @@
     this.parts = { method, target, headers, body };
   }
 
-  /** What the request is known by at all machines. */
+  /** Identifies the request on all machines. */
   get fingerprint(): string {
     return this.context.services.containment.fingerprintOf(this.parts);
   }
 
-  /** An attempt failed. */
-  attemptFailed({ code }: RequestError): void {
+  recordFailure({ code }: RequestError): void {
     this.endedCount += Number(code === 'ENDPOINT_ENDED');
   }
 
   /**
-   * Why no further attempt is made; undefined where one may be. A request that may be the cause of an end
-   * costs an endpoint with each attempt: once two have ended under it, it gets no second one.
+   * Returns the error if no further attempt may be made, otherwise undefined. Each attempt of a request that crashes
+   * endpoints costs one more endpoint. Once it has ended two endpoint processes, it therefore gets no further attempt
+   * after one of its own attempts has ended a process.
    */
   refusal(): RequestError | undefined {
     const { containment, counters } = this.context.services;
@@ -48,8 +48,8 @@
     return containedError(containment.containedForMs(this.parts));
   }
 
-  /** The fingerprint of a request that gets the same endpoint at every node; undefined for all others. */
-  get trial(): string | undefined {
+  /** Fingerprint of an accused request, for which every node chooses the same endpoint; undefined for others. */
+  get trialFingerprint(): string | undefined {
     const isAccused = this.context.services.containment.standingOf(this.parts) === 'accused';
     return isAccused ? this.fingerprint : undefined;
   }
--- a/src/proxy/request-work.ts
+++ b/src/proxy/request-work.ts
@@ -1,23 +1,26 @@
-/** Rank, class and times that admission goes by for a request of a route. Pure. */
+/** Priority, work class and time limits that a route's requests have in admission. Pure. */
 import { lateRank, rankOfWork } from '../admission/work-rank.js';
 import type { Route } from '../model/resource.js';
 import type { WorkProfile } from '../routing/endpoint-strategy.js';
 import type { Call } from './call.js';
 
-/** The part of a call that admission goes by. */
+/** The properties of a call that admission depends on. */
 export type CallWork = Pick<Call, 'priority' | 'workClass' | 'targetAtMs' | 'startByMs'>;
 
-/** Part of its target latency for which late work waits for a slot at one endpoint; more where its pace says so. */
-const LATE_WAIT_PART = 0.4;
-/** Ends the name by which endpoints turn late work away: it has room where work in time has none. */
+/**
+ * Share of its target latency for which a late request waits for a slot at one endpoint. Admission waits longer if the
+ * endpoint's service times suggest it.
+ */
+const LATE_SLOT_WAIT_SHARE = 0.4;
+/** Suffix of the refusal class of late work, which may be admitted where work in time is refused. */
 const LATE_CLASS_SUFFIX = ' late';
 
-/** The class by which endpoints turn work of the route away. */
+/** Class under which endpoints' refusals of the route's requests are recorded. */
 export function refusalClassOf({ name }: Route, isLate: boolean): string {
   return isLate ? `${name}${LATE_CLASS_SUFFIX}` : name;
 }
 
-/** What the choice of an endpoint goes by; undefined for a route without a target. */
+/** Work profile for endpoint selection; undefined for a route without a target latency. */
 export function workProfileOf(route: Route, isLate: boolean): WorkProfile | undefined {
   const { targetLatencyMs } = route.spec;
   return targetLatencyMs === undefined
@@ -31,9 +34,9 @@
 }
 
 /**
- * What admission goes by for an attempt. The target latency decides the order of work, and whether an attempt is
- * made for an answer in time; one that `isLate` waits behind what can be in time of its priority, and is refused by
- * its deadline only, or for lack of room.
+ * Priority, work class and time limits of an attempt for admission. The target latency determines the order of requests
+ * and whether an attempt must be answered in time. An attempt that `isLate` waits behind requests of its priority that
+ * can still be in time, and is refused only because of its deadline or a lack of capacity.
  */
 export function workOf(
   { name, spec }: Route,
@@ -50,7 +53,7 @@
     ? {
         priority: lateRank(rank),
         workClass: name,
-        startByMs: nowMs + targetLatencyMs * LATE_WAIT_PART,
+        startByMs: nowMs + targetLatencyMs * LATE_SLOT_WAIT_SHARE,
       }
     : { priority: rank, workClass: name, targetAtMs: startedAtMs + targetLatencyMs };
 }
--- a/src/runtime/store-node.ts
+++ b/src/runtime/store-node.ts
@@ -205,7 +205,7 @@
   private takeSilence(peer: string, isSilent: boolean): void {
     this.options.logger.info(isSilent ? 'peer-silent' : 'peer-heard-again', { peer });
     if (isSilent) {
-      this.proxy.machineIsSilent(peer);
+      this.proxy.machineUnresponsive(peer);
     }
   }
 
@@ -244,7 +244,7 @@
         status: (address) => (this.peers.isSilent(address) ? 'leaving' : 'unknown'),
         relayAddress: (address) => ({ address, port: relay.port }),
         count: () => this.machineCount,
-        heard: (address) => this.peers.heard(address),
+        recordResponse: (address) => this.peers.heard(address),
       },
       counters: this.metrics,
       containment: this.containment,
@@ -341,7 +341,7 @@
     this.snapshot = snapshot;
     if (!hasSameEndpoints(snapshot, held)) {
       this.adoptMachines(machinesOf(snapshot));
-      this.proxy.takeEndpoints();
+      this.proxy.applyEndpoints();
     }
     const evacuatedBefore = held?.evacuatedZones ?? new Set<string>();
     const behindMs = Math.round(this.peers.behindMs);
--- a/test/containment/request-fingerprint.test.ts
+++ b/test/containment/request-fingerprint.test.ts
@@ -4,14 +4,14 @@
   headOf,
   RequestFingerprint,
 } from '../../src/containment/request-fingerprint.js';
-import { EMPTY_BODY, HeldBody } from '../../src/proxy/request-body.js';
+import { EMPTY_BODY, BufferedBody } from '../../src/proxy/request-body.js';
 
 const CALLER_HEADER = 'caller';
 const PARTS = {
   method: 'POST',
   target: '/a/b?c=1',
   headers: ['Host', 'h.example', 'Caller', 'shop', 'Request-Id', 'one'],
-  body: new HeldBody(Buffer.from('pay')),
+  body: new BufferedBody(Buffer.from('pay')),
 };
 
 function wholeOf(parts: Partial<typeof PARTS>): string {
@@ -21,7 +21,7 @@
 describe('the fingerprint of a request', () => {
   it('is the same for every try, at any machine', () => {
     const again = ['Request-Id', 'two', 'CALLER', 'shop', 'host', 'H.example:8080', 'X-Trace', '7'];
-    const body = new HeldBody(Buffer.from('pay'));
+    const body = new BufferedBody(Buffer.from('pay'));
     expect(wholeOf({ headers: again, body })).to.equal(wholeOf({}));
   });
 
@@ -34,8 +34,8 @@
       wholeOf({ headers: ['Host', 'i.example', 'Caller', 'shop'] }),
       wholeOf({ headers: ['Host', 'h.example', 'Caller', 'depot'] }),
       wholeOf({ headers: ['Host', 'h.example'] }),
-      wholeOf({ body: new HeldBody(Buffer.from('pay more')) }),
-      wholeOf({ body: new HeldBody(Buffer.alloc(0)) }),
+      wholeOf({ body: new BufferedBody(Buffer.from('pay more')) }),
+      wholeOf({ body: new BufferedBody(Buffer.alloc(0)) }),
     ];
     expect(new Set(all)).to.have.property('size', all.length);
   });
@@ -56,14 +56,14 @@
   it('begins with the digest of the head, which the body does not change', () => {
     const one = new RequestFingerprint(PARTS, CALLER_HEADER);
     expect(headOf(one.whole)).to.equal(one.head);
-    expect(headOf(wholeOf({ body: new HeldBody(Buffer.from('other')) }))).to.equal(one.head);
+    expect(headOf(wholeOf({ body: new BufferedBody(Buffer.from('other')) }))).to.equal(one.head);
     expect(one.whole).to.match(/^[0-9a-f]{40}$/);
   });
 
   it('differs only at its end with the caller', () => {
     const other = wholeOf({ headers: ['Host', 'h.example', 'Caller', 'depot'] });
     expect(callerlessOf(other)).to.equal(callerlessOf(wholeOf({})));
-    const body = new HeldBody(Buffer.from('other'));
+    const body = new BufferedBody(Buffer.from('other'));
     expect(callerlessOf(wholeOf({ body }))).not.to.equal(callerlessOf(wholeOf({})));
   });
 
--- a/test/proxy/leaving.test.ts
+++ b/test/proxy/leaving.test.ts
@@ -53,7 +53,7 @@
     const answered = call(callerPort);
     await until(() => startedAt(0) === 1);
     const stopped = proxy.stop();
-    proxy.machineIsSilent('n2');
+    proxy.machineUnresponsive('n2');
     expect((await answered).status).to.equal(200);
     await stopped;
   });
--- a/test/proxy/relay/relayed-bodies.test.ts
+++ b/test/proxy/relay/relayed-bodies.test.ts
@@ -15,7 +15,7 @@
 import type { Endpoint } from '../../../src/model/resource.js';
 import type { Attempt, Call } from '../../../src/proxy/call.js';
 import { RelayClient } from '../../../src/proxy/relay/relay-client.js';
-import { HeldBody, StreamedBody, type RequestBody } from '../../../src/proxy/request-body.js';
+import { BufferedBody, StreamedBody, type RequestBody } from '../../../src/proxy/request-body.js';
 import { MACHINE_TIME } from '../../../src/proxy/scheduler.js';
 import { echoEndpoint, echoService, seededRandom, TestMesh, type TestNode } from '../rig.js';
 import { NarrowLink } from './narrow-link.js';
@@ -184,7 +184,7 @@
       for (let count = 0; count < REQUESTS; count += 1) {
         const bytes = Buffer.alloc(pick(LENGTHS), `${count}-`);
         const form = bytes.length === 0 ? 'held' : pick(FORMS);
-        const body = form === 'held' ? new HeldBody(bytes) : slowBody(form, bytes, random);
+        const body = form === 'held' ? new BufferedBody(bytes) : slowBody(form, bytes, random);
         const run: Run = {
           id: `r${seed}-${count}`,
           form,
@@ -231,7 +231,7 @@
     const [client, link] = await addPeer('p', 875);
     const outcomes: string[] = [];
     for (let count = 0; count < 20; count += 1) {
-      client.submit(endpoint, callOf(`u${count}`, new HeldBody(Buffer.alloc(60_000)), 3_000), {
+      client.submit(endpoint, callOf(`u${count}`, new BufferedBody(Buffer.alloc(60_000)), 3_000), {
         answered: () => outcomes.push('answered'),
         failed: ({ code, verdict }) => outcomes.push(`${code} ${verdict}`),
       });
--- a/test/proxy/relay/slow-connections.test.ts
+++ b/test/proxy/relay/slow-connections.test.ts
@@ -97,7 +97,7 @@
     await takeOtherNodeAway();
     const answer = call(near.callerPort);
     await until(() => world.slow.heads.length === 1);
-    near.proxy.machineIsSilent('n2');
+    near.proxy.machineUnresponsive('n2');
     setTimeout(() => world.answerSlow(), WORK_MS);
     expect(await answer).to.include({ status: 200, body: 'slow' });
     expect(world.slow.cancelled).to.deep.equal([]);
--- a/test/proxy/relay/upload-bodies.test.ts
+++ b/test/proxy/relay/upload-bodies.test.ts
@@ -19,7 +19,7 @@
 import type { Answer, Call } from '../../../src/proxy/call.js';
 import { RelayClient } from '../../../src/proxy/relay/relay-client.js';
 import type { LinkSilence } from '../../../src/proxy/relay/relay-link.js';
-import { EMPTY_BODY, HeldBody } from '../../../src/proxy/request-body.js';
+import { EMPTY_BODY, BufferedBody } from '../../../src/proxy/request-body.js';
 import type { RequestError } from '../../../src/proxy/request-error.js';
 import { MACHINE_TIME } from '../../../src/proxy/scheduler.js';
 import {
@@ -97,7 +97,7 @@
       method: body === undefined ? 'GET' : 'POST',
       target: '/',
       headers: ['Host', 'a'],
-      body: body === undefined ? EMPTY_BODY : new HeldBody(body),
+      body: body === undefined ? EMPTY_BODY : new BufferedBody(body),
       deadlineAtMs: performance.now() + 8_000,
       callerNode: 'n1',
       retriesLeft: 0,
--- a/test/proxy/unsent-at-silence.test.ts
+++ b/test/proxy/unsent-at-silence.test.ts
@@ -91,7 +91,7 @@
       body: Buffer.alloc(UPLOAD_BYTES),
     });
     await until(() => hasReceived('request'));
-    proxy.machineIsSilent('n2');
+    proxy.machineUnresponsive('n2');
     expect((await answered).status).to.equal(200);
   });
 
@@ -99,7 +99,7 @@
     const { callerPort, proxy } = await addNode();
     const answered = call(callerPort, { method: 'POST', headers: { 'x-deadline-ms': 300 } });
     await until(() => hasReceived('request'));
-    proxy.machineIsSilent('n2');
+    proxy.machineUnresponsive('n2');
     const { status, headers } = await answered;
     expect([status, headers['ferryspool-verdict']]).to.deep.equal([504, 'may-have-run']);
     expect(target.heads).to.deep.equal([]);
--- a/tools/experiment/emulated-body.ts
+++ b/tools/experiment/emulated-body.ts
@@ -7,7 +7,7 @@
 export class EmulatedBody implements RequestBody {
   readonly length: number;
   readonly isDeclared: boolean;
-  readonly isHeld = true;
+  readonly isBuffered = true;
 
   constructor(readonly request: PlannedRequest) {
     this.length = request.uploadBytes;
@@ -18,7 +18,7 @@
     return true;
   }
 
-  isWhole(): boolean {
+  isComplete(): boolean {
     return true;
   }
 
--- a/tools/experiment/emulated-node.ts
+++ b/tools/experiment/emulated-node.ts
@@ -180,7 +180,7 @@
         status: (machine) => (this.watch.isSilent(machine) ? 'leaving' : 'unknown'),
         relayAddress: () => ({ address: HOST, port: PORT }),
         count: () => fleet.nodeCount,
-        heard: (machine) => this.hear(machine),
+        recordResponse: (machine) => this.hear(machine),
       },
       counters: { add: () => undefined },
       random,
