--- a/src/proxy/request-path.ts
+++ b/src/proxy/request-path.ts
@@ -47,8 +47,8 @@
   readonly onFailureMs?: (ms: number) => void;
   /** Receives the time that each connection to a peer took to open or to fail, in milliseconds. */
   readonly onRelayConnectMs?: (ms: number) => void;
-  /** Receives the delay of each periodic event-loop check, in milliseconds. */
-  readonly onLoopDelayMs?: (ms: number) => void;
+  /** Receives the event-loop lag measured at each periodic check, in milliseconds. */
+  readonly onEventLoopLagMs?: (ms: number) => void;
 }
 
 /** The request path of a node; the owner makes the two servers listen. */
--- a/src/proxy/request-proxy.ts
+++ b/src/proxy/request-proxy.ts
@@ -36,11 +36,11 @@
 /** Idle connections of callers are kept open longer than configured, by this factor and this constant. */
 const IDLE_MARGIN_FACTOR = 1.25;
 const IDLE_MARGIN_MS = 1_000;
-/** Minimum event-loop delay that is logged, in milliseconds: half of a usual target latency. */
-const MIN_LOGGED_LOOP_DELAY_MS = 100;
+/** Minimum event-loop lag that is logged, in milliseconds: half of a usual target latency. */
+const MIN_LOGGED_EVENT_LOOP_LAG_MS = 100;
 /** Upper bound for the age of a stop signal, in milliseconds; an older one arrived while the process was frozen. */
 const MAX_SIGNAL_AGE_MS = 1_500;
-/** Name for the sender of a relayed request if senders are not authenticated. */
+/** Sender of a relayed request if the fleet has no key to authenticate it with. */
 const ANONYMOUS_PEER = 'peer';
 
 export function createRequestProxy(options: RequestProxyOptions): RequestProxy {
@@ -62,7 +62,7 @@
   private readonly endpointClient: EndpointClient;
   private readonly relayClient: RelayClient;
   private readonly pauseDetector: PauseDetector;
-  private readonly lateness = new LoopLateness();
+  private readonly eventLoopLag = new LoopLateness();
   private readonly socketPoll = new SocketPoll();
   private readonly stopTicking: EndAction;
   private readonly meter = new CallMeter(() => MACHINE_TIME.now());
@@ -123,7 +123,7 @@
     });
     this.pauseDetector = new PauseDetector(
       MACHINE_TIME.now(),
-      (ms) => this.recordLoopDelay(ms),
+      (ms) => this.recordEventLoopLag(ms),
       (action) => this.afterRead(action),
     );
     this.stopTicking = LOOKS.add(() => this.tick());
@@ -212,7 +212,7 @@
     await drainServers([this.callerServer, this.relayServer], {
       stop: this.plannedStop,
       signalAgeMs,
-      latenessMs: () => this.lateness.recentMs(MACHINE_TIME.now()),
+      latenessMs: () => this.eventLoopLag.recentMs(MACHINE_TIME.now()),
       lastArrivalAtMs: () => this.meter.lastArrivalAtMs,
       inFlight: () => this.meter.inFlight + this.relay.unstartedCount,
       lingering: () => this.callerConnections.lingeringCount,
@@ -353,11 +353,11 @@
     void this.socketPoll.renew().then(action);
   }
 
-  private recordLoopDelay(delayMs: number): void {
-    this.lateness.add(delayMs, MACHINE_TIME.now());
-    this.options.onLoopDelayMs?.(delayMs);
-    if (delayMs >= MIN_LOGGED_LOOP_DELAY_MS) {
-      this.options.logStateChange('event-loop-late', `${Math.round(delayMs)} ms`);
+  private recordEventLoopLag(lagMs: number): void {
+    this.eventLoopLag.add(lagMs, MACHINE_TIME.now());
+    this.options.onEventLoopLagMs?.(lagMs);
+    if (lagMs >= MIN_LOGGED_EVENT_LOOP_LAG_MS) {
+      this.options.logStateChange('event-loop-late', `${Math.round(lagMs)} ms`);
     }
   }
 
--- a/src/proxy/request-runner.ts
+++ b/src/proxy/request-runner.ts
@@ -35,7 +35,7 @@
 /** Retry delay for callers when no endpoint has capacity, in milliseconds. */
 const NO_ENDPOINT_RETRY_MS = 200;
 /** Answers with this HTTP status or a higher one report an endpoint error. */
-const FAULT_STATUS = 500;
+const MIN_SERVER_ERROR_STATUS = 500;
 /** Observer for an answer that ends the request whether or not it is sent completely. */
 const IGNORE_END: AnswerObserver = { whole: () => undefined, broken: () => undefined };
 
@@ -139,7 +139,7 @@
       case 'abort-attempt':
         return this.abortAttempt(effect.attempt);
       case 'pass-answer':
-        return this.passAnswer(effect.attempt);
+        return this.forwardAnswer(effect.attempt);
       case 'discard-answer':
         return this.bufferFault(effect.attempt);
       case 'report':
@@ -239,7 +239,7 @@
 
   private handleAnswer(attempt: RequestAttempt, answer: Answer): void {
     attempt.recordAnswer(answer);
-    if (answer.status < FAULT_STATUS) {
+    if (answer.status < MIN_SERVER_ERROR_STATUS) {
       attempt.endpoint.measureLatency(this.endpointChoice.isLate);
     }
     const fault = this.faultOf(answer);
@@ -252,7 +252,7 @@
 
   private faultOf(answer: Answer): RequestError | undefined {
     const mayRetry = this.context.services.limits.retriesFaults && this.canReplay();
-    return mayRetry && answer.status >= FAULT_STATUS
+    return mayRetry && answer.status >= MIN_SERVER_ERROR_STATUS
       ? new EndpointFaultError(`the endpoint answered ${answer.status}`)
       : undefined;
   }
@@ -321,7 +321,7 @@
     }
   }
 
-  private passAnswer(attempt: number): void {
+  private forwardAnswer(attempt: number): void {
     const answer = this.attempts.get(attempt)?.answer;
     if (answer === undefined) {
       return;
@@ -329,7 +329,7 @@
     const { response, requestId, services } = this.context;
     response.answer(answer, requestId, services.limits.maxHeldAnswerBytes, {
       whole: () => {
-        this.endAttempt(attempt, answer.status >= FAULT_STATUS ? 'failed' : 'answered');
+        this.endAttempt(attempt, answer.status >= MIN_SERVER_ERROR_STATUS ? 'failed' : 'answered');
         this.handle({ type: 'answer-whole', attempt });
         this.cleanUp();
       },
--- a/src/runtime/store-node.ts
+++ b/src/runtime/store-node.ts
@@ -269,7 +269,7 @@
         'Time that relayed requests lost on their way here',
       ),
       onRelayConnectMs: this.timer('relay_connect', 'Time that connections to peers took'),
-      onLoopDelayMs: this.timer('event_loop_delay', 'How late the event loop ran a timer'),
+      onEventLoopLagMs: this.timer('event_loop_delay', 'How late the event loop ran a timer'),
     });
   }
 
