--- a/src/proxy/request-lifecycle.ts
+++ b/src/proxy/request-lifecycle.ts
@@ -90,11 +90,9 @@
       case 'suspected':
         return this.handleSuspicion(event, nowMs);
       case 'no-endpoint':
-        return this.reportOrAwaitSuspects(this.lastFailure ?? event.failure);
+        return this.settle(this.lastFailure ?? event.failure);
       case 'withheld':
-        return this.reportOrAwaitSuspects(
-          this.mayHaveRun ? (this.lastFailure ?? event.failure) : event.failure,
-        );
+        return this.settle(this.mayHaveRun ? (this.lastFailure ?? event.failure) : event.failure);
     }
   }
 
@@ -179,7 +177,7 @@
     if (backOff !== undefined) {
       return [backOff];
     }
-    return this.suspects.size > 0 ? this.reportOrAwaitSuspects(fault) : undefined;
+    return this.suspects.size > 0 ? this.settle(fault) : undefined;
   }
 
   /** Forwards a suspect's answer, unless another is being forwarded, or it is an error and others may follow. */
@@ -212,7 +210,7 @@
   ): RequestEffect[] {
     this.lastFailure = failure;
     this.mayHaveRun ||= failure.verdict !== 'not-run';
-    return this.startNextAttempt(failure, canReplay, nowMs) ?? this.reportOrAwaitSuspects(failure);
+    return this.startNextAttempt(failure, canReplay, nowMs) ?? this.settle(failure);
   }
 
   private handleSuspectFailure(
@@ -272,7 +270,7 @@
   }
 
   /** Reports the failure to the caller, unless a suspect may still be answered. */
-  private reportOrAwaitSuspects(failure: RequestFailure): RequestEffect[] {
+  private settle(failure: RequestFailure): RequestEffect[] {
     if (this.suspects.size === 0) {
       return this.report(failure);
     }
