--- a/src/proxy/request-proxy.ts
+++ b/src/proxy/request-proxy.ts
@@ -267,7 +267,7 @@
     this.gateway.look();
   }
 
-  private reportRelaySilence(where: string, { awaitedCount, quietMs }: LinkSilence): void {
+  private reportUnresponsiveRelay(where: string, { awaitedCount, quietMs }: LinkSilence): void {
     this.options.counters.add('ferryspool_relay_silent_total');
     const detail = `${where}: ${awaitedCount} requests, no data received for ${Math.round(quietMs)} ms`;
     this.options.logStateChange('relay-silent', detail);
@@ -287,7 +287,8 @@
           this.options.logStateChange('relay-not-connected', detail);
         }
       },
-      onSilence: ({ address }, silence) => this.reportRelaySilence(`to ${address}`, silence),
+      onSilence: ({ address }, connection) =>
+        this.reportUnresponsiveRelay(`to ${address}`, connection),
       isListed: (endpoint) => this.isListed(endpoint),
       addressOf: ({ spec }) =>
         spec.machine === undefined ? undefined : members.relayAddress(spec.machine),
@@ -342,7 +343,7 @@
       refusesNewWork: () => this.plannedStop.refusesNewWork(MACHINE_TIME.now()),
       deadlineWithin: (deadlineAtMs) => this.plannedStop.deadlineWithin(deadlineAtMs),
       requestLog: this.options.requestLog ?? NO_REQUEST_LOG,
-      onSilence: (from, silence) => this.reportRelaySilence(`from ${from}`, silence),
+      onSilence: (from, connection) => this.reportUnresponsiveRelay(`from ${from}`, connection),
       began: () => this.meter.begin(),
       onTravelLostMs: this.options.onTravelLostMs,
       onBodyMs: this.options.onBodyMs,
