--- a/src/containment/request-fingerprint.ts
+++ b/src/containment/request-fingerprint.ts
@@ -6,7 +6,7 @@
 import { isIP } from 'node:net';
 import { cryptography } from '../model/cryptography.js';
 import { headerValue, type HeaderList } from '../proxy/headers.js';
-import { HeldBody, type RequestBody } from '../proxy/request-body.js';
+import { BufferedBody, type RequestBody } from '../proxy/request-body.js';
 
 /** Hexadecimal digits of the head digest, and of the body digest. */
 const PART_DIGITS = 16;
@@ -91,7 +91,7 @@
  * bodies have the same fingerprint, and a successful response to one of them clears them all.
  */
 function bodyDigestInput(body: RequestBody): readonly (string | Buffer)[] {
-  return body instanceof HeldBody ? ['held', body.bytes] : [`passed on ${body.length ?? ''}`];
+  return body instanceof BufferedBody ? ['held', body.bytes] : [`passed on ${body.length ?? ''}`];
 }
 
 function digestOf(parts: readonly (string | Buffer)[]): string {
--- a/src/proxy/http-exchange.ts
+++ b/src/proxy/http-exchange.ts
@@ -195,7 +195,7 @@
   private send(body: RequestBody): void {
     if (!this.request.destroyed) {
       this.connected = true;
-      if (!body.isWhole()) {
+      if (!body.isComplete()) {
         // The head tells the endpoint how much time is left. If it waited for the first bytes of
         // the body, a part of that time would have passed when it is sent.
         this.request.flushHeaders();
