--- a/src/proxy/proxy-limits.ts
+++ b/src/proxy/proxy-limits.ts
@@ -4,7 +4,7 @@
 import { DEFAULT_MAX_SAVED_RETRIES } from '../routing/retry-budget.js';
 import type { CancelLead } from './gated-call.js';
 import { DEFAULT_IDLE_CONNECTION_MS } from './http-exchange.js';
-import { MAX_COLLECTED_BODY_BYTES } from './relay/collected-body.js';
+import { MAX_BUFFERED_BODY_BYTES } from './relay/buffered-body.js';
 import type { StopLimits } from './stop-times.js';
 
 /** Bounds that an operator may set. */
@@ -67,7 +67,7 @@
   maxBodyBytes: 64 * 1024 * 1024,
   // What another node collects is sent at its pace, not at that of a slow caller, and a caller that leaves
   // is noticed: nothing reads the connection of one whose body waits unread.
-  maxReplayBodyBytes: MAX_COLLECTED_BODY_BYTES,
+  maxReplayBodyBytes: MAX_BUFFERED_BODY_BYTES,
   maxHeldBytes: 32 * 1024 * 1024,
   maxHeldAnswerBytes: 16 * 1024,
   maxQueuedPerEndpoint: 64,
--- a/src/proxy/relay/arrival-rate.ts
+++ b/src/proxy/relay/arrival-rate.ts
@@ -16,41 +16,41 @@
   private measuredAtMs = 0;
   private sampleBytes = 0;
   /** Since when bodies have been waiting without a break; undefined while none does. */
-  private sampledSinceMs: number | undefined;
+  private sampleStartedAtMs: number | undefined;
 
   /** Takes whether bodies wait; what arrives while none does says nothing of what would fit. */
   setSaturated(isSaturated: boolean, nowMs: number): void {
     if (!isSaturated) {
-      this.sampledSinceMs = undefined;
-    } else if (this.sampledSinceMs === undefined) {
-      this.sampledSinceMs = nowMs;
+      this.sampleStartedAtMs = undefined;
+    } else if (this.sampleStartedAtMs === undefined) {
+      this.sampleStartedAtMs = nowMs;
       this.sampleBytes = 0;
     }
   }
 
-  arrived(bytes: number, nowMs: number): void {
-    if (this.sampledSinceMs === undefined) {
+  recordArrival(bytes: number, nowMs: number): void {
+    if (this.sampleStartedAtMs === undefined) {
       return;
     }
     this.sampleBytes += bytes;
-    const sampleMs = nowMs - this.sampledSinceMs;
+    const sampleMs = nowMs - this.sampleStartedAtMs;
     if (sampleMs < SAMPLE_MS) {
       return;
     }
-    const measured = this.sampleBytes / sampleMs;
-    const previous = this.bytesPerMs ?? measured;
-    this.bytesPerMs = previous + (measured - previous) * SAMPLE_WEIGHT;
+    const sampleBytesPerMs = this.sampleBytes / sampleMs;
+    const previous = this.bytesPerMs ?? sampleBytesPerMs;
+    this.bytesPerMs = previous + (sampleBytesPerMs - previous) * SAMPLE_WEIGHT;
     this.measuredAtMs = nowMs;
-    this.sampledSinceMs = nowMs;
+    this.sampleStartedAtMs = nowMs;
     this.sampleBytes = 0;
   }
 
   /** Time that so many bytes take, in milliseconds; 0 before a measurement. */
-  msFor(bytes: number, nowMs: number): number {
+  transferMs(bytes: number, nowMs: number): number {
     if (this.bytesPerMs === undefined || this.bytesPerMs <= 0) {
       return 0;
     }
-    const hope = 2 ** ((nowMs - this.measuredAtMs) / DOUBLING_MS);
-    return bytes / (this.bytesPerMs * hope);
+    const growthFactor = 2 ** ((nowMs - this.measuredAtMs) / DOUBLING_MS);
+    return bytes / (this.bytesPerMs * growthFactor);
   }
 }
--- a/src/proxy/relay/credit-pool.ts
+++ b/src/proxy/relay/credit-pool.ts
@@ -6,7 +6,7 @@
 import type { BodyArrival } from '../../admission/endpoint-admission.js';
 import type { CancelTimer, Scheduler } from '../scheduler.js';
 import { ArrivalRate } from './arrival-rate.js';
-import { isCollected } from './collected-body.js';
+import { isBuffered } from './buffered-body.js';
 
 /**
  * Bytes of bodies on their way to a node at most. Keeps a link of 7 Mbit/s busy, and is carried by it in
@@ -24,9 +24,9 @@
 /** ... or once nothing has arrived of anybody for this long, in milliseconds, ... */
 const STALL_MS = 150;
 /** ... and for so many times as long as the pool takes at the measured pace. */
-const STALL_POOL_TIMES = 4;
+const STALL_POOL_MULTIPLE = 4;
 /** Weight of a new measurement in the running mean of the time that bodies take. */
-const COLLECT_WEIGHT = 0.2;
+const BODY_TIME_WEIGHT = 0.2;
 
 /** One body that a sender asks to send. */
 export interface CreditRequest {
@@ -43,8 +43,8 @@
   /** When the body will be here, at the measured pace; now before a measurement. */
   expectedArrival(): BodyArrival;
   /** The receiver has room for so many bytes more. */
-  want(bytes: number): void;
-  arrived(bytes: number): void;
+  addDemand(bytes: number): void;
+  recordArrival(bytes: number): void;
   /** The body is over, or given up. */
   close(): void;
 }
@@ -75,7 +75,7 @@
   open(request: CreditRequest): BodyCredit {
     const openedAtMs = this.scheduler.now();
     const body: PooledCredit = new PooledCredit(request, {
-      whole: () => this.measure(this.scheduler.now() - openedAtMs),
+      completed: () => this.recordBodyTime(this.scheduler.now() - openedAtMs),
       changed: (arrivedBytes) => this.changed(body, arrivedBytes),
       expectedArrival: () => this.expectedArrival(body),
     });
@@ -85,8 +85,8 @@
 
   /** Puts a body behind those of its rank. */
   private enqueue(body: PooledCredit): void {
-    const after = this.bodies.findIndex((other) => other.rank > body.rank);
-    this.bodies.splice(after < 0 ? this.bodies.length : after, 0, body);
+    const insertAt = this.bodies.findIndex((other) => other.rank > body.rank);
+    this.bodies.splice(insertAt < 0 ? this.bodies.length : insertAt, 0, body);
   }
 
   private dequeue(body: PooledCredit): void {
@@ -101,21 +101,21 @@
   private expectedArrival(body: PooledCredit): BodyArrival {
     const nowMs = this.scheduler.now();
     const ahead = this.bodies.slice(0, this.bodies.indexOf(body));
-    const aheadBytes = ahead.reduce((bytes, other) => bytes + other.owedBytes, 0);
+    const aheadBytes = ahead.reduce((bytes, other) => bytes + other.remainingTurnBytes, 0);
     if (aheadBytes === 0) {
       return { beginsAtMs: nowMs, endsAtMs: nowMs };
     }
     const beginBytes = Math.max(0, aheadBytes - POOL_BYTES);
     return {
-      beginsAtMs: nowMs + this.rate.msFor(beginBytes, nowMs),
-      endsAtMs: nowMs + this.rate.msFor(aheadBytes + body.owedBytes, nowMs),
+      beginsAtMs: nowMs + this.rate.transferMs(beginBytes, nowMs),
+      endsAtMs: nowMs + this.rate.transferMs(aheadBytes + body.remainingTurnBytes, nowMs),
     };
   }
 
-  private measure(bodyMs: number): void {
+  private recordBodyTime(bodyMs: number): void {
     this.onBodyMs?.(bodyMs);
     const previous = this.meanMs ?? bodyMs;
-    this.meanMs = previous + (bodyMs - previous) * COLLECT_WEIGHT;
+    this.meanMs = previous + (bodyMs - previous) * BODY_TIME_WEIGHT;
   }
 
   private changed(body: PooledCredit, arrivedBytes: number): void {
@@ -123,8 +123,8 @@
     if (arrivedBytes > 0) {
       this.arrivedBytes += arrivedBytes;
       this.lastArrivalAtMs = nowMs;
-      body.moved(this.arrivedBytes, nowMs);
-      this.rate.arrived(arrivedBytes, nowMs);
+      body.recordProgress(this.arrivedBytes, nowMs);
+      this.rate.recordArrival(arrivedBytes, nowMs);
     }
     if (body.isClosed) {
       this.dequeue(body);
@@ -134,7 +134,7 @@
 
   /** A body that waits is not overtaken by those behind it; long ones take turns with the others. */
   private grantInOrder(nowMs: number): void {
-    let freeBytes = POOL_BYTES - this.heldBytes(nowMs);
+    let freeBytes = POOL_BYTES - this.outstandingBytes(nowMs);
     let next = this.nextWaiting();
     while (next !== undefined && next.nextGrantBytes <= freeBytes) {
       freeBytes -= next.nextGrantBytes;
@@ -154,34 +154,34 @@
   }
 
   /** Bytes of the pool that are granted and not used, but for those of senders that leave them unused. */
-  private heldBytes(nowMs: number): number {
+  private outstandingBytes(nowMs: number): number {
     const stalledSinceMs = nowMs - this.stallMs(nowMs);
     const isStalled = this.lastArrivalAtMs <= stalledSinceMs;
     let bytes = 0;
     for (const body of this.bodies) {
-      body.judge(this.arrivedBytes, isStalled ? stalledSinceMs : -Infinity);
-      bytes += body.isSlow ? 0 : body.underWayBytes;
+      body.detectSlowSender(this.arrivedBytes, isStalled ? stalledSinceMs : -Infinity);
+      bytes += body.isSlow ? 0 : body.inFlightBytes;
     }
     return bytes;
   }
 
   private stallMs(nowMs: number): number {
-    return Math.max(STALL_MS, STALL_POOL_TIMES * this.rate.msFor(POOL_BYTES, nowMs));
+    return Math.max(STALL_MS, STALL_POOL_MULTIPLE * this.rate.transferMs(POOL_BYTES, nowMs));
   }
 
-  private watchForStall(isWaited: boolean): void {
+  private watchForStall(hasWaitingBody: boolean): void {
     this.cancelStallTimer?.();
     const nowMs = this.scheduler.now();
-    this.cancelStallTimer = isWaited
+    this.cancelStallTimer = hasWaitingBody
       ? this.scheduler.schedule(this.stallMs(nowMs), () => this.grantInOrder(this.scheduler.now()))
       : undefined;
   }
 }
 
 /** What the credit of a body needs of its pool. */
-interface PoolLink {
+interface PoolCallbacks {
   /** The body arrived in full. */
-  readonly whole: () => void;
+  readonly completed: () => void;
   readonly changed: (arrivedBytes: number) => void;
   readonly expectedArrival: () => BodyArrival;
 }
@@ -194,61 +194,61 @@
   /** Whether its sender left credit unused; it then gets one grant at a time, apart from the pool. */
   isSlow = false;
   /** Granted and not arrived yet. */
-  underWayBytes = 0;
+  inFlightBytes = 0;
   /** When credit was last granted or used, and what had arrived of all bodies by then. */
-  private movedAtMs = 0;
-  private movedAtBytes = 0;
+  private lastActivityAtMs = 0;
+  private poolBytesAtLastActivity = 0;
   /** Whether its sender has sent something; until then it gets one grant. */
-  private hasMoved = false;
-  private wantedBytes = 0;
+  private hasReceivedBytes = false;
+  private demandBytes = 0;
   private ungrantedBytes: number;
 
   constructor(
     private readonly request: CreditRequest,
-    private readonly pool: PoolLink,
+    private readonly pool: PoolCallbacks,
   ) {
     this.rank = request.rank;
     this.ungrantedBytes = request.lengthBytes ?? Infinity;
-    this.isLong = !isCollected(request.lengthBytes);
+    this.isLong = !isBuffered(request.lengthBytes);
   }
 
   /** What is still to come before its turn is over. */
-  get owedBytes(): number {
-    const toGrant = this.isLong
-      ? Math.min(this.wantedBytes, this.ungrantedBytes, GRANT_BYTES)
+  get remainingTurnBytes(): number {
+    const ungrantedTurnBytes = this.isLong
+      ? Math.min(this.demandBytes, this.ungrantedBytes, GRANT_BYTES)
       : this.ungrantedBytes;
-    return this.underWayBytes + toGrant;
+    return this.inFlightBytes + ungrantedTurnBytes;
   }
 
   get nextGrantBytes(): number {
-    const isAlone = this.isSlow || this.isLong || !this.hasMoved;
-    if (isAlone && this.underWayBytes > 0) {
+    const isSingleGrant = this.isSlow || this.isLong || !this.hasReceivedBytes;
+    if (isSingleGrant && this.inFlightBytes > 0) {
       return 0;
     }
-    return Math.min(GRANT_BYTES, this.wantedBytes, this.ungrantedBytes);
+    return Math.min(GRANT_BYTES, this.demandBytes, this.ungrantedBytes);
   }
 
   /** Takes whether its sender leaves credit unused that it got before `stalledSinceMs`. */
-  judge(arrivedBytes: number, stalledSinceMs: number): void {
-    const isOvertaken = arrivedBytes - this.movedAtBytes >= OVERTAKEN_BYTES;
-    const isStalled = this.movedAtMs <= stalledSinceMs;
-    this.isSlow ||= this.underWayBytes > 0 && (isOvertaken || isStalled);
+  detectSlowSender(poolArrivedBytes: number, stalledSinceMs: number): void {
+    const isOvertaken = poolArrivedBytes - this.poolBytesAtLastActivity >= OVERTAKEN_BYTES;
+    const isStalled = this.lastActivityAtMs <= stalledSinceMs;
+    this.isSlow ||= this.inFlightBytes > 0 && (isOvertaken || isStalled);
   }
 
   /** Bytes arrived; a sender that has used its credit before others overtook it is not slow any more. */
-  moved(arrivedBytes: number, nowMs: number): void {
-    const wasInTime = arrivedBytes - this.movedAtBytes < OVERTAKEN_BYTES;
-    this.isSlow &&= !(wasInTime && this.underWayBytes === 0);
-    this.mark(arrivedBytes, nowMs);
-    this.hasMoved = true;
+  recordProgress(poolArrivedBytes: number, nowMs: number): void {
+    const wasInTime = poolArrivedBytes - this.poolBytesAtLastActivity < OVERTAKEN_BYTES;
+    this.isSlow &&= !(wasInTime && this.inFlightBytes === 0);
+    this.markActivity(poolArrivedBytes, nowMs);
+    this.hasReceivedBytes = true;
   }
 
-  grantNext(arrivedBytes: number, nowMs: number): void {
+  grantNext(poolArrivedBytes: number, nowMs: number): void {
     const bytes = this.nextGrantBytes;
-    this.mark(arrivedBytes, nowMs);
-    this.wantedBytes -= bytes;
+    this.markActivity(poolArrivedBytes, nowMs);
+    this.demandBytes -= bytes;
     this.ungrantedBytes -= bytes;
-    this.underWayBytes += bytes;
+    this.inFlightBytes += bytes;
     this.request.grant(bytes);
   }
 
@@ -256,28 +256,28 @@
     return this.pool.expectedArrival();
   }
 
-  want(bytes: number): void {
-    this.wantedBytes += bytes;
+  addDemand(bytes: number): void {
+    this.demandBytes += bytes;
     this.pool.changed(0);
   }
 
-  arrived(bytes: number): void {
-    this.underWayBytes = Math.max(0, this.underWayBytes - bytes);
+  recordArrival(bytes: number): void {
+    this.inFlightBytes = Math.max(0, this.inFlightBytes - bytes);
     this.pool.changed(bytes);
   }
 
   close(): void {
     if (!this.isClosed) {
       this.isClosed = true;
-      if (this.ungrantedBytes === 0 && this.underWayBytes === 0) {
-        this.pool.whole();
+      if (this.ungrantedBytes === 0 && this.inFlightBytes === 0) {
+        this.pool.completed();
       }
       this.pool.changed(0);
     }
   }
 
-  private mark(arrivedBytes: number, nowMs: number): void {
-    this.movedAtBytes = arrivedBytes;
-    this.movedAtMs = nowMs;
+  private markActivity(poolArrivedBytes: number, nowMs: number): void {
+    this.poolBytesAtLastActivity = poolArrivedBytes;
+    this.lastActivityAtMs = nowMs;
   }
 }
--- a/src/proxy/relay/frame-sink.ts
+++ b/src/proxy/relay/frame-sink.ts
@@ -3,21 +3,21 @@
 import type { AnswerSink } from '../answer-relay.js';
 import type { Answer } from '../call.js';
 import { RelayBodyWriter } from './relay-body.js';
-import { frameLoadOf, NO_LOAD } from './relay-load.js';
+import { frameLoadOf, UNKNOWN_LOAD } from './relay-load.js';
 import type { RequestLink } from './request-link.js';
 
 /** An answer of up to this length, in bytes, is sent as one frame where it is soon whole. */
-const MAX_HELD_ANSWER_BYTES = 16 * 1024;
+const MAX_SINGLE_FRAME_ANSWER_BYTES = 16 * 1024;
 /** How long an answer's head waits for the rest at most, in milliseconds. */
-const MAX_HOLD_MS = 20;
+const MAX_BUFFERING_MS = 20;
 
 /** An answer's way out as frames: one where it is small and soon whole, else a head and parts. */
 export class FrameSink extends EventEmitter implements AnswerSink {
   headersSent = false;
-  private heldChunks: Buffer[] = [];
-  private heldBytes = 0;
+  private bufferedChunks: Buffer[] = [];
+  private bufferedBytes = 0;
   private readonly writer: RelayBodyWriter;
-  private readonly holdTimer: NodeJS.Timeout;
+  private readonly bufferingTimer: NodeJS.Timeout;
 
   constructor(
     private readonly streamId: number,
@@ -31,7 +31,7 @@
     this.writer.on('drain', () => this.emit('drain'));
     // What the endpoint still sends after the answer was given up goes nowhere.
     this.writer.on('error', () => undefined);
-    this.holdTimer = setTimeout(() => this.release(), MAX_HOLD_MS);
+    this.bufferingTimer = setTimeout(() => this.flushBuffered(), MAX_BUFFERING_MS);
   }
 
   /** The head goes out with the first frame. */
@@ -43,9 +43,9 @@
     if (this.headersSent) {
       return this.writer.write(chunk);
     }
-    this.heldChunks.push(chunk);
-    this.heldBytes += chunk.length;
-    return this.isHoldable || this.release();
+    this.bufferedChunks.push(chunk);
+    this.bufferedBytes += chunk.length;
+    return this.isBufferable || this.flushBuffered();
   }
 
   end(chunk?: Buffer): void {
@@ -54,11 +54,11 @@
       return;
     }
     if (chunk !== undefined) {
-      this.heldChunks.push(chunk);
+      this.bufferedChunks.push(chunk);
     }
-    const [first] = this.heldChunks;
-    const isOne = this.heldChunks.length === 1 && first !== undefined;
-    this.sendHead(true, isOne ? first : Buffer.concat(this.heldChunks));
+    const [first] = this.bufferedChunks;
+    const hasSingleChunk = this.bufferedChunks.length === 1 && first !== undefined;
+    this.sendHead(true, hasSingleChunk ? first : Buffer.concat(this.bufferedChunks));
   }
 
   addCredit(bytes: number): void {
@@ -75,25 +75,25 @@
   }
 
   destroy(): void {
-    clearTimeout(this.holdTimer);
+    clearTimeout(this.bufferingTimer);
     this.writer.destroy();
   }
 
   /** An answer of unknown length is passed on as it comes. */
-  private get isHoldable(): boolean {
-    const isFramed = this.answer.contentLength !== undefined;
-    return isFramed && this.heldBytes <= MAX_HELD_ANSWER_BYTES;
+  private get isBufferable(): boolean {
+    const hasKnownLength = this.answer.contentLength !== undefined;
+    return hasKnownLength && this.bufferedBytes <= MAX_SINGLE_FRAME_ANSWER_BYTES;
   }
 
   /** Sends the head and what is held of the body; false when the receiver should be waited for. */
-  private release(): boolean {
+  private flushBuffered(): boolean {
     this.sendHead(false, Buffer.alloc(0));
-    const held = Buffer.concat(this.heldChunks.splice(0));
-    return held.length === 0 || this.writer.write(held);
+    const buffered = Buffer.concat(this.bufferedChunks.splice(0));
+    return buffered.length === 0 || this.writer.write(buffered);
   }
 
   private sendHead(isHeld: boolean, bytes: Buffer): void {
-    clearTimeout(this.holdTimer);
+    clearTimeout(this.bufferingTimer);
     this.headersSent = true;
     const { status, headers, contentLength, load } = this.answer;
     this.link.send({
@@ -102,7 +102,7 @@
       status,
       headers,
       contentLengthBytes: contentLength,
-      ...frameLoadOf(load ?? NO_LOAD, this.link.isStopping()),
+      ...frameLoadOf(load ?? UNKNOWN_LOAD, this.link.isStopping()),
       isHeld,
       bytes,
     });
--- a/src/proxy/relay/relay-body.ts
+++ b/src/proxy/relay/relay-body.ts
@@ -7,30 +7,30 @@
 /** Bytes of one body that may be on their way or unread at the receiver. */
 export const BODY_WINDOW_BYTES = 64 * 1024;
 /** Bytes of one frame of a body at most: others get their turn in between. */
-const MAX_PART_BYTES = 16 * 1024;
+const MAX_FRAME_BYTES = 16 * 1024;
 /** Bytes that are read before the sender is told that there is room. */
-const CREDIT_STEP_BYTES = 16 * 1024;
+const MIN_CREDIT_BYTES = 16 * 1024;
 
 /** Sends one part of a body. */
 export type SendPart = (bytes: Buffer, isLast: boolean) => void;
 
 /** The sending end. */
 export class RelayBodyWriter extends Writable {
-  private waiting: (() => void) | undefined;
+  private resumeWrite: (() => void) | undefined;
 
   /** `windowBytes` may be sent before the receiver gives credit. */
   constructor(
     private readonly sendPart: SendPart,
     private windowBytes = BODY_WINDOW_BYTES,
   ) {
-    super({ highWaterMark: MAX_PART_BYTES });
+    super({ highWaterMark: MAX_FRAME_BYTES });
   }
 
   /** The receiver has room for more. */
   addCredit(bytes: number): void {
     this.windowBytes += bytes;
-    const resume = this.waiting;
-    this.waiting = undefined;
+    const resume = this.resumeWrite;
+    this.resumeWrite = undefined;
     resume?.();
   }
 
@@ -44,24 +44,24 @@
   }
 
   private sendParts(chunk: Buffer, done: () => void): void {
-    let rest = chunk;
-    while (rest.length > 0 && this.windowBytes > 0) {
-      const part = rest.subarray(0, Math.min(MAX_PART_BYTES, this.windowBytes));
+    let remaining = chunk;
+    while (remaining.length > 0 && this.windowBytes > 0) {
+      const part = remaining.subarray(0, Math.min(MAX_FRAME_BYTES, this.windowBytes));
       this.sendPart(part, false);
       this.windowBytes -= part.length;
-      rest = rest.subarray(part.length);
+      remaining = remaining.subarray(part.length);
     }
-    if (rest.length === 0) {
+    if (remaining.length === 0) {
       done();
     } else {
-      this.waiting = () => this.sendParts(rest, done);
+      this.resumeWrite = () => this.sendParts(remaining, done);
     }
   }
 }
 
 /** The receiving end. */
 export class RelayBodyReader extends Readable {
-  private unreportedBytes = 0;
+  private uncreditedBytes = 0;
   private windowBytes = BODY_WINDOW_BYTES;
   private isEnded = false;
 
@@ -71,7 +71,7 @@
    */
   constructor(
     private readonly sendCredit: (bytes: number) => void,
-    private isOpen = true,
+    private isWindowOpen = true,
   ) {
     super({ highWaterMark: BODY_WINDOW_BYTES });
   }
@@ -82,7 +82,7 @@
   }
 
   /** Lets the sender have so many bytes more on their way, or unread here. */
-  widen(bytes: number): void {
+  extendWindow(bytes: number): void {
     if (!this.isEnded && !this.destroyed) {
       this.windowBytes += bytes;
       this.sendCredit(bytes);
@@ -91,8 +91,8 @@
 
   /** Takes a part that arrived. A sender that goes beyond its window breaks the body off. */
   receive(bytes: Buffer, isLast: boolean): void {
-    this.unreportedBytes += bytes.length;
-    if (this.unreportedBytes > this.windowBytes) {
+    this.uncreditedBytes += bytes.length;
+    if (this.uncreditedBytes > this.windowBytes) {
       this.destroy();
       return;
     }
@@ -107,14 +107,14 @@
 
   /** Called whenever there is room here again. */
   override _read(): void {
-    if (!this.isOpen) {
-      this.isOpen = true;
+    if (!this.isWindowOpen) {
+      this.isWindowOpen = true;
       this.sendCredit(BODY_WINDOW_BYTES);
       return;
     }
-    if (this.unreportedBytes >= CREDIT_STEP_BYTES && !this.isEnded) {
-      this.sendCredit(this.unreportedBytes);
-      this.unreportedBytes = 0;
+    if (this.uncreditedBytes >= MIN_CREDIT_BYTES && !this.isEnded) {
+      this.sendCredit(this.uncreditedBytes);
+      this.uncreditedBytes = 0;
     }
   }
 }
--- a/src/proxy/relay/relay-client.ts
+++ b/src/proxy/relay/relay-client.ts
@@ -15,16 +15,16 @@
  * Connections in a row that a machine does not answer until it is dark: without power, or cut off. At a loss of
  * 3% of packets one opening in 17 is not answered in time, three in a row are one in 5,000.
  */
-const UNANSWERED_TO_DARK = 3;
+const MAX_UNANSWERED_CONNECTS = 3;
 
 /** Connections to the relay ports of peers. */
 export class RelayClient implements EndpointPath {
   /** The connection that new attempts to an address take. */
   private readonly links = new Map<string, RelayLink>();
   /** All connections, also those that get no new attempts any more. */
-  private readonly open = new Set<RelayLink>();
+  private readonly openLinks = new Set<RelayLink>();
   /** Connections in a row that machines did not answer, by address, while older ones to it are open. */
-  private readonly unanswered = new Map<string, number>();
+  private readonly unansweredConnects = new Map<string, number>();
 
   constructor(private readonly options: RelayClientOptions) {}
 
@@ -38,18 +38,18 @@
   }
 
   /** Looks whether connections on which something is awaited are silent; to be called now and then. */
-  look(): void {
-    this.open.forEach((link) => link.look());
+  checkLiveness(): void {
+    this.openLinks.forEach((link) => link.checkLiveness());
   }
 
   /** New attempts get a new connection; what is awaited on the one there is goes on. */
-  forget(address: RelayAddress): void {
+  retireConnection(address: RelayAddress): void {
     this.links.delete(keyOf(address));
   }
 
   /** Closes all connections. */
   close(): void {
-    this.open.forEach((link) => link.destroy());
+    this.openLinks.forEach((link) => link.destroy());
   }
 
   private retire(key: string, link: RelayLink): void {
@@ -60,9 +60,9 @@
 
   private linkTo(address: RelayAddress): RelayLink {
     const key = keyOf(address);
-    const known = this.links.get(key);
-    if (known !== undefined) {
-      return known;
+    const existing = this.links.get(key);
+    if (existing !== undefined) {
+      return existing;
     }
     const link = new RelayLink(address, this.options, {
       retired: () => this.retire(key, link),
@@ -70,21 +70,21 @@
         this.retire(key, link);
         this.linkTo(address);
       },
-      opened: () => this.proveAlive(key, link),
-      notOpened: (isAnswered) => this.countUnanswered(key, isAnswered),
-      closed: () => this.open.delete(link),
+      opened: () => this.confirmPeerAlive(key, link),
+      openFailed: (isAnswered) => this.countUnanswered(key, isAnswered),
+      closed: () => this.openLinks.delete(link),
     });
     this.links.set(key, link);
-    this.open.add(link);
+    this.openLinks.add(link);
     return link;
   }
 
   /** A new connection works: older ones to the same address that say nothing are silent. */
-  private proveAlive(key: string, opened: RelayLink): void {
-    this.unanswered.delete(key);
+  private confirmPeerAlive(key: string, opened: RelayLink): void {
+    this.unansweredConnects.delete(key);
     for (const link of this.linksTo(key)) {
       if (link !== opened) {
-        link.isProvenAlive();
+        link.confirmPeerAlive();
       }
     }
   }
@@ -93,18 +93,18 @@
   private countUnanswered(key: string, isAnswered: boolean): void {
     const links = this.linksTo(key);
     if (isAnswered || links.length === 0) {
-      this.unanswered.delete(key);
+      this.unansweredConnects.delete(key);
       return;
     }
-    const count = (this.unanswered.get(key) ?? 0) + 1;
-    this.unanswered.set(key, count);
-    if (count >= UNANSWERED_TO_DARK) {
-      this.unanswered.delete(key);
-      links.forEach((link) => link.peerIsDark());
+    const count = (this.unansweredConnects.get(key) ?? 0) + 1;
+    this.unansweredConnects.set(key, count);
+    if (count >= MAX_UNANSWERED_CONNECTS) {
+      this.unansweredConnects.delete(key);
+      links.forEach((link) => link.peerIsUnreachable());
     }
   }
 
   private linksTo(key: string): RelayLink[] {
-    return [...this.open].filter((link) => link.key === key);
+    return [...this.openLinks].filter((link) => link.key === key);
   }
 }
--- a/src/proxy/relay/relay-connection.ts
+++ b/src/proxy/relay/relay-connection.ts
@@ -7,7 +7,7 @@
 import { FrameError } from '../../wire/frame-error.js';
 import { FrameReader } from '../../wire/frame-reader.js';
 import type { CancelTimer, Scheduler } from '../scheduler.js';
-import type { LinkPulse } from './link-pulse.js';
+import type { ConnectionLiveness } from './connection-liveness.js';
 import {
   decodeRelayFrame,
   encodeRelayFrame,
@@ -21,13 +21,13 @@
  * Time after which the peer is asked whether a frame has arrived, in milliseconds, where nothing was heard
  * since: the silence before it was sent says nothing of it.
  */
-const UNHEARD_MS = 100;
+const PING_DELAY_MS = 100;
 /**
  * Silence after which the peer is asked again, in milliseconds, once it has shown that all that was sent has
  * arrived: only what is still to come can be lost. On a connection with one request at a time, each question
  * costs both nodes a tenth of a request, and most endpoints take longer than the first one waits.
  */
-const ARRIVED_QUIET_MS = 350;
+const DELIVERED_PING_DELAY_MS = 350;
 
 /** Gets what happens on a connection. */
 export interface RelayConnectionObserver {
@@ -39,27 +39,27 @@
 
 /** Watches over a connection whose peer answers pings. */
 export interface ConnectionWatch {
-  readonly pulse: LinkPulse;
+  readonly liveness: ConnectionLiveness;
   readonly scheduler: Scheduler;
   /** Told of each step once; see {@link ./link-pulse.ts}. */
-  readonly onSilence: (step: 'suspect' | 'silent' | 'lost', quietMs: number) => void;
+  readonly onLivenessStep: (step: 'suspect' | 'silent' | 'lost', quietMs: number) => void;
 }
 
 /** A connection. */
 export class RelayConnection {
   private readonly reader = new FrameReader();
-  private urgent: Buffer[] = [];
-  private bodies: Buffer[] = [];
+  private urgentFrames: Buffer[] = [];
+  private bodyFrames: Buffer[] = [];
   private isFlushDue = false;
   private isEnding = false;
   private isClosed = false;
-  private cancelLook: CancelTimer | undefined;
+  private cancelCheck: CancelTimer | undefined;
   /** When the first frame was sent since anything was heard; undefined where none was. */
-  private unheardSinceMs: number | undefined;
+  private unackedSinceMs: number | undefined;
   /** When the question was asked that went out behind all that was sent; undefined where none did. */
-  private allAskedAtMs: number | undefined;
+  private deliveryPingAtMs: number | undefined;
   /** Whether it was answered: all that was sent has arrived. */
-  private hasAllArrived = false;
+  private isAllDelivered = false;
 
   /** `head` is what was already read of the socket. */
   constructor(
@@ -88,9 +88,9 @@
       return false;
     }
     if (frame.kind !== 'ping' && frame.kind !== 'acknowledgement') {
-      this.noteSent();
+      this.recordSent();
     }
-    const queue = frame.kind === 'body' ? this.bodies : this.urgent;
+    const queue = frame.kind === 'body' ? this.bodyFrames : this.urgentFrames;
     queue.push(bytes);
     if (!this.isFlushDue) {
       this.isFlushDue = true;
@@ -100,43 +100,43 @@
   }
 
   /** To be called now and then; `isOwed` is whether anything is awaited on the connection. */
-  look(isOwed: boolean): void {
+  checkLiveness(isAwaiting: boolean): void {
     if (this.watch === undefined || this.isClosed) {
       return;
     }
-    const { pulse, scheduler, onSilence } = this.watch;
+    const { liveness, scheduler, onLivenessStep } = this.watch;
     const nowMs = scheduler.now();
-    const step = pulse.look(isOwed && this.isQuestionDue(pulse, nowMs), nowMs);
-    if (step === 'none' && this.cancelLook === undefined) {
+    const step = liveness.check(isAwaiting && this.isPingDue(liveness, nowMs), nowMs);
+    if (step === 'none' && this.cancelCheck === undefined) {
       return;
     }
     if (step === 'ask') {
-      const askedAtMs = Math.floor(nowMs);
-      this.allAskedAtMs = this.bodies.length === 0 ? askedAtMs : undefined;
-      this.send({ kind: 'ping', askedAtMs });
+      const pingSentAtMs = Math.floor(nowMs);
+      this.deliveryPingAtMs = this.bodyFrames.length === 0 ? pingSentAtMs : undefined;
+      this.send({ kind: 'ping', pingSentAtMs });
       this.flush();
     }
-    this.lookAgainInTime(this.watch);
+    this.scheduleCheck(this.watch);
     if (step !== 'ask' && step !== 'none') {
-      onSilence(step, pulse.quietForMs(nowMs));
+      onLivenessStep(step, liveness.idleMs(nowMs));
     }
   }
 
   /** Whether anything arrived at `atMs` or later; true where nobody watches. */
-  hasHeardSince(atMs: number): boolean {
+  hasReceivedSince(atMs: number): boolean {
     if (this.watch === undefined) {
       return true;
     }
-    const { pulse, scheduler } = this.watch;
+    const { liveness, scheduler } = this.watch;
     const nowMs = scheduler.now();
-    return nowMs - pulse.quietForMs(nowMs) >= atMs;
+    return nowMs - liveness.idleMs(nowMs) >= atMs;
   }
 
   /** Another connection to, or from, the same process was opened. */
-  isProvenAlive(): void {
+  confirmPeerAlive(): void {
     if (this.watch !== undefined) {
-      this.watch.pulse.proven(this.watch.scheduler.now());
-      this.lookAgainInTime(this.watch);
+      this.watch.liveness.confirmPeerAlive(this.watch.scheduler.now());
+      this.scheduleCheck(this.watch);
     }
   }
 
@@ -150,27 +150,29 @@
     this.socket.destroy();
   }
 
-  private isQuestionDue(pulse: LinkPulse, nowMs: number): boolean {
-    if (this.hasAllArrived) {
-      return pulse.quietForMs(nowMs) >= ARRIVED_QUIET_MS;
+  private isPingDue(liveness: ConnectionLiveness, nowMs: number): boolean {
+    if (this.isAllDelivered) {
+      return liveness.idleMs(nowMs) >= DELIVERED_PING_DELAY_MS;
     }
-    return this.unheardSinceMs === undefined || nowMs - this.unheardSinceMs >= UNHEARD_MS;
+    return this.unackedSinceMs === undefined || nowMs - this.unackedSinceMs >= PING_DELAY_MS;
   }
 
-  private noteSent(): void {
-    this.allAskedAtMs = undefined;
-    this.hasAllArrived = false;
-    this.unheardSinceMs ??= this.watch?.scheduler.now();
+  private recordSent(): void {
+    this.deliveryPingAtMs = undefined;
+    this.isAllDelivered = false;
+    this.unackedSinceMs ??= this.watch?.scheduler.now();
   }
 
   /** What arrived meanwhile is read before the look. */
-  private lookAgainInTime({ pulse, scheduler }: ConnectionWatch): void {
-    this.cancelLook?.();
-    const delayMs = this.isClosed ? undefined : pulse.msToNextLook(scheduler.now());
-    this.cancelLook =
+  private scheduleCheck({ liveness, scheduler }: ConnectionWatch): void {
+    this.cancelCheck?.();
+    const delayMs = this.isClosed ? undefined : liveness.msToNextCheck(scheduler.now());
+    this.cancelCheck =
       delayMs === undefined
         ? undefined
-        : scheduler.schedule(Math.ceil(delayMs), () => setImmediate(() => this.look(false)));
+        : scheduler.schedule(Math.ceil(delayMs), () =>
+            setImmediate(() => this.checkLiveness(false)),
+          );
   }
 
   private flush(): void {
@@ -178,42 +180,42 @@
     if (this.isClosed || this.socket.writableEnded) {
       return;
     }
-    const due = this.urgent;
-    this.urgent = [];
+    const due = this.urgentFrames;
+    this.urgentFrames = [];
     let dueBytes = this.socket.writableLength + byteLengthOf(due);
-    while (this.bodies.length > 0 && dueBytes < MAX_SOCKET_BACKLOG_BYTES) {
-      const next = this.bodies.shift() ?? Buffer.alloc(0);
+    while (this.bodyFrames.length > 0 && dueBytes < MAX_SOCKET_BACKLOG_BYTES) {
+      const next = this.bodyFrames.shift() ?? Buffer.alloc(0);
       due.push(next);
       dueBytes += next.length;
     }
     if (due.length > 0) {
       const bytes = due.length === 1 ? due[0] : Buffer.concat(due);
-      this.socket.write(bytes, () => this.flushRest());
+      this.socket.write(bytes, () => this.flushBodies());
     }
-    if (this.isEnding && this.bodies.length === 0) {
+    if (this.isEnding && this.bodyFrames.length === 0) {
       this.socket.end();
     }
   }
 
   /** Bodies that did not fit go on once the bytes before them are out, whether or not a drain is told. */
-  private flushRest(): void {
-    if (this.bodies.length > 0) {
+  private flushBodies(): void {
+    if (this.bodyFrames.length > 0) {
       this.flush();
     }
   }
 
   private read(chunk: Buffer): void {
     const frames: StreamFrame[] = [];
-    this.watch?.pulse.heard(this.watch.scheduler.now());
-    this.unheardSinceMs = undefined;
+    this.watch?.liveness.recordReceived(this.watch.scheduler.now());
+    this.unackedSinceMs = undefined;
     try {
       this.reader.push(chunk);
       for (let body = this.reader.next(); body !== undefined; body = this.reader.next()) {
         const frame = decodeRelayFrame(body);
         if (frame.kind === 'ping') {
-          this.send({ kind: 'acknowledgement', askedAtMs: frame.askedAtMs });
+          this.send({ kind: 'acknowledgement', pingSentAtMs: frame.pingSentAtMs });
         } else if (frame.kind === 'acknowledgement') {
-          this.takeAcknowledgement(frame.askedAtMs);
+          this.handleAcknowledgement(frame.pingSentAtMs);
         } else {
           frames.push(frame);
         }
@@ -227,17 +229,17 @@
     this.observer.received(frames);
   }
 
-  private takeAcknowledgement(askedAtMs: number): void {
+  private handleAcknowledgement(pingSentAtMs: number): void {
     if (this.watch !== undefined) {
-      this.hasAllArrived ||= askedAtMs === this.allAskedAtMs;
-      this.watch.pulse.answered(askedAtMs, this.watch.scheduler.now());
-      this.lookAgainInTime(this.watch);
+      this.isAllDelivered ||= pingSentAtMs === this.deliveryPingAtMs;
+      this.watch.liveness.recordAcknowledgement(pingSentAtMs, this.watch.scheduler.now());
+      this.scheduleCheck(this.watch);
     }
   }
 
   private close(): void {
     this.isClosed = true;
-    this.cancelLook?.();
+    this.cancelCheck?.();
     this.observer.closed();
   }
 }
--- a/src/proxy/relay/relay-frame.ts
+++ b/src/proxy/relay/relay-frame.ts
@@ -104,13 +104,13 @@
 export interface PingFrame {
   readonly kind: 'ping';
   /** On the sender's monotonic clock, in whole milliseconds; given back in the answer. */
-  readonly askedAtMs: number;
+  readonly pingSentAtMs: number;
 }
 
 /** Answers a {@link PingFrame}. */
 export interface AcknowledgementFrame {
   readonly kind: 'acknowledgement';
-  readonly askedAtMs: number;
+  readonly pingSentAtMs: number;
 }
 
 /** A frame of one request. */
@@ -163,8 +163,8 @@
   if (value === undefined) {
     return 0;
   }
-  const whole = Math.round(value);
-  return whole >= 0 ? whole * 2 + 1 : -whole * 2;
+  const integer = Math.round(value);
+  return integer >= 0 ? integer * 2 + 1 : -integer * 2;
 }
 
 function unfoldSign(folded: number): number | undefined {
@@ -240,8 +240,8 @@
   body: new PlainStruct({ streamId: varint, isLast: flag, bytes: remainingBytes }),
   credit: new PlainStruct({ streamId: varint, creditBytes: varint }),
   cancel: new PlainStruct({ streamId: varint }),
-  ping: new PlainStruct({ askedAtMs: varint }),
-  acknowledgement: new PlainStruct({ askedAtMs: varint }),
+  ping: new PlainStruct({ pingSentAtMs: varint }),
+  acknowledgement: new PlainStruct({ pingSentAtMs: varint }),
 };
 
 /** The bytes of a frame, its length among them. Throws {@link FrameError} for bad values. */
--- a/src/proxy/relay/relay-link.ts
+++ b/src/proxy/relay/relay-link.ts
@@ -4,7 +4,7 @@
 import type { Endpoint } from '../../model/resource.js';
 import type { Attempt, AttemptObserver, Call } from '../call.js';
 import type { Scheduler } from '../scheduler.js';
-import { LinkPulse, LOSS_MS, type PulseLimits } from './link-pulse.js';
+import { ConnectionLiveness, LOSS_TIMEOUT_MS, type LivenessLimits } from './connection-liveness.js';
 import { RelayConnection } from './relay-connection.js';
 import type { StreamFrame } from './relay-frame.js';
 import { RELAY_PROTOCOL, RELAY_TOKEN_HEADER } from './relay-protocol.js';
@@ -17,7 +17,7 @@
  * A sender asks after a short quiet: a call that waits on a silent connection has some hundred
  * milliseconds.
  */
-const SENDER_PULSE: PulseLimits = { quietMs: 100, unprovenLossMs: LOSS_MS };
+const SENDER_LIVENESS: LivenessLimits = { quietMs: 100, unconfirmedLossTimeoutMs: LOSS_TIMEOUT_MS };
 /** Time in which a connection that is of no use any more sends what it has, in milliseconds. */
 const CLOSE_TIMEOUT_MS = 1_000;
 
@@ -35,7 +35,7 @@
   /** Told how long a connection took to open, or to fail, in milliseconds. */
   readonly onConnect?: (address: RelayAddress, connectMs: number, isOpen: boolean) => void;
   /** Told that a connection is silent though a new one works, with what is awaited on it. */
-  readonly onSilence?: (address: RelayAddress, silence: LinkSilence) => void;
+  readonly onUnresponsive?: (address: RelayAddress, silence: UnresponsiveConnection) => void;
   /** Whether the configuration in force names the endpoint; it always does when absent. */
   readonly isListed?: (endpoint: Endpoint) => boolean;
   /** A token that is valid now; undefined where the fleet has no key. */
@@ -43,7 +43,7 @@
 }
 
 /** What is known of a silent connection. */
-export interface LinkSilence {
+export interface UnresponsiveConnection {
   /** Requests that were under way on it. */
   readonly awaitedCount: number;
   /** Time since anything arrived on it, in milliseconds. */
@@ -59,7 +59,7 @@
   /** It is open. */
   readonly opened: () => void;
   /** It did not open. A machine that is there answers in time, if only that nothing listens. */
-  readonly notOpened: (isAnswered: boolean) => void;
+  readonly openFailed: (isAnswered: boolean) => void;
   readonly closed: () => void;
 }
 
@@ -74,18 +74,18 @@
   private readonly streams = new Map<number, RelayedAttempt>();
   private readonly request: http.ClientRequest;
   private connection: RelayConnection | undefined;
-  private readonly beganAtMs: number;
+  private readonly connectStartedAtMs: number;
   private lastStreamId = 0;
-  private isOver = false;
+  private isClosed = false;
   /** Whether the peer's machine has answered, be it that nothing listens. */
-  private isMachineThere = false;
+  private hasMachineAnswered = false;
   private isSuspect = false;
   /** Whether it says nothing while a new connection works. */
-  private isSilent = false;
+  private isUnresponsive = false;
   /** Since when nothing at all has been heard of the peer for long; undefined where that is not so. */
   private peerLostAtMs: number | undefined;
   /** When the last request was sent. */
-  private sentAtMs = -Infinity;
+  private lastSentAtMs = -Infinity;
 
   constructor(
     private readonly address: RelayAddress,
@@ -93,7 +93,7 @@
     private readonly observer: RelayLinkObserver,
   ) {
     this.key = keyOf(address);
-    this.beganAtMs = options.scheduler.now();
+    this.connectStartedAtMs = options.scheduler.now();
     this.request = http.request({
       host: address.address,
       port: address.port,
@@ -117,18 +117,18 @@
     this.request.once('response', () => this.request.destroy());
     this.request.once('socket', (socket) =>
       socket.once('connect', () => {
-        this.isMachineThere = true;
+        this.hasMachineAnswered = true;
       }),
     );
     this.request.on('error', ({ code }: NodeJS.ErrnoException) => {
-      this.isMachineThere ||= code === 'ECONNREFUSED';
+      this.hasMachineAnswered ||= code === 'ECONNREFUSED';
     });
     this.request.once('close', () => {
       clearTimeout(timer);
       if (this.connection === undefined) {
         this.reportConnect(false);
         this.end('never-sent');
-        this.observer.notOpened(this.isMachineThere);
+        this.observer.openFailed(this.hasMachineAnswered);
       }
     });
     this.request.end();
@@ -139,7 +139,7 @@
     const streamId = this.lastStreamId;
     const attempt = new RelayedAttempt(streamId, endpoint, call, observer, this.options.scheduler, {
       send: (frame) => this.connection?.send(frame) === true,
-      over: () => this.streamIsOver(streamId),
+      ended: () => this.handleStreamEnd(streamId),
     });
     this.streams.set(streamId, attempt);
     if (this.connection !== undefined) {
@@ -149,21 +149,21 @@
   }
 
   /** To be called now and then. */
-  look(): void {
-    this.connection?.look(this.streams.size > 0 || this.isUnheard());
+  checkLiveness(): void {
+    this.connection?.checkLiveness(this.streams.size > 0 || this.isUnansweredSinceSend());
     if (this.isSuspect && this.streams.size > 0) {
       this.observer.suspect();
     }
-    this.endWithPeer();
+    this.endDelistedAttempts();
   }
 
   /** Another connection to the peer was opened. */
-  isProvenAlive(): void {
-    this.connection?.isProvenAlive();
+  confirmPeerAlive(): void {
+    this.connection?.confirmPeerAlive();
   }
 
   /** The peer's machine answers nothing. */
-  peerIsDark(): void {
+  peerIsUnreachable(): void {
     if (this.isSuspect) {
       [...this.streams.values()].forEach((attempt) => attempt.peerIsGone());
     }
@@ -181,7 +181,7 @@
   }
 
   private reportConnect(isOpen: boolean): void {
-    const connectMs = this.options.scheduler.now() - this.beganAtMs;
+    const connectMs = this.options.scheduler.now() - this.connectStartedAtMs;
     this.options.onConnect?.(this.address, connectMs, isOpen);
   }
 
@@ -200,13 +200,14 @@
     const { scheduler } = this.options;
     const nowMs = scheduler.now();
     const watch = {
-      pulse: new LinkPulse(SENDER_PULSE, nowMs - this.beganAtMs, nowMs),
+      liveness: new ConnectionLiveness(SENDER_LIVENESS, nowMs - this.connectStartedAtMs, nowMs),
       scheduler,
-      onSilence: (step: 'suspect' | 'silent' | 'lost', quietMs: number) =>
-        this.takeSilence(step, quietMs),
+      onLivenessStep: (step: 'suspect' | 'silent' | 'lost', quietMs: number) =>
+        this.handleLivenessStep(step, quietMs),
     };
     const observer = {
-      received: (frames: readonly StreamFrame[]) => frames.forEach((frame) => this.take(frame)),
+      received: (frames: readonly StreamFrame[]) =>
+        frames.forEach((frame) => this.handleFrame(frame)),
       closed: () => this.end('lost'),
     };
     this.connection = new RelayConnection(socket, head, observer, watch);
@@ -215,13 +216,13 @@
   }
 
   private send(attempt: RelayedAttempt): void {
-    this.sentAtMs = this.options.scheduler.now();
+    this.lastSentAtMs = this.options.scheduler.now();
     attempt.send();
   }
 
   /** A request whose caller left is owed nothing, but no word since then may mean that it was lost. */
-  private isUnheard(): boolean {
-    return this.connection?.hasHeardSince(this.sentAtMs) === false;
+  private isUnansweredSinceSend(): boolean {
+    return this.connection?.hasReceivedSince(this.lastSentAtMs) === false;
   }
 
   /**
@@ -229,17 +230,17 @@
    * any more once it has said nothing for long while a new one works; without a new one the peer's machine
    * may only stand still.
    */
-  private takeSilence(step: 'suspect' | 'silent' | 'lost', quietMs: number): void {
+  private handleLivenessStep(step: 'suspect' | 'silent' | 'lost', quietMs: number): void {
     const attempts = [...this.streams.values()];
     if (step === 'suspect') {
       this.isSuspect = true;
-      this.isSilent = false;
+      this.isUnresponsive = false;
       this.observer.suspect();
     } else if (step === 'silent') {
-      this.isSilent = true;
-      this.options.onSilence?.(this.address, { awaitedCount: attempts.length, quietMs });
-      attempts.forEach((attempt) => attempt.connectionIsSilent(quietMs));
-    } else if (this.isSilent) {
+      this.isUnresponsive = true;
+      this.options.onUnresponsive?.(this.address, { awaitedCount: attempts.length, quietMs });
+      attempts.forEach((attempt) => attempt.connectionUnresponsive(quietMs));
+    } else if (this.isUnresponsive) {
       this.connection?.destroy();
     } else {
       this.peerLostAtMs = this.options.scheduler.now();
@@ -247,11 +248,11 @@
   }
 
   /** Ends attempts at endpoints that went with the peer; one that stands still keeps its entries for longer. */
-  private endWithPeer(): void {
+  private endDelistedAttempts(): void {
     if (this.peerLostAtMs === undefined) {
       return;
     }
-    if (this.connection?.hasHeardSince(this.peerLostAtMs) === true) {
+    if (this.connection?.hasReceivedSince(this.peerLostAtMs) === true) {
       this.peerLostAtMs = undefined;
       return;
     }
@@ -263,7 +264,7 @@
   }
 
   /** A suspect connection gets no new attempts: it is of no use once its last one is over. */
-  private streamIsOver(streamId: number): void {
+  private handleStreamEnd(streamId: number): void {
     this.streams.delete(streamId);
     if (this.isSuspect && this.streams.size === 0) {
       this.connection?.end();
@@ -278,15 +279,15 @@
     }
   }
 
-  private take(frame: StreamFrame): void {
-    this.streams.get(frame.streamId)?.take(frame);
+  private handleFrame(frame: StreamFrame): void {
+    this.streams.get(frame.streamId)?.handleFrame(frame);
   }
 
   private end(cause: 'never-sent' | 'lost'): void {
-    if (this.isOver) {
+    if (this.isClosed) {
       return;
     }
-    this.isOver = true;
+    this.isClosed = true;
     this.observer.retired();
     this.observer.closed();
     for (const attempt of [...this.streams.values()]) {
--- a/src/proxy/relay/relay-load.ts
+++ b/src/proxy/relay/relay-load.ts
@@ -4,7 +4,7 @@
 
 const PERCENT = 100;
 /** What is said of the load where nothing is known. */
-export const NO_LOAD: LoadReport = { inFlight: 0, slots: 0, draining: false };
+export const UNKNOWN_LOAD: LoadReport = { inFlight: 0, slots: 0, draining: false };
 
 /** What frames say of `load`. */
 export function frameLoadOf(load: LoadReport, isNodeStopping: boolean): FrameLoad {
--- a/src/proxy/relay/relay-server.ts
+++ b/src/proxy/relay/relay-server.ts
@@ -10,17 +10,17 @@
 import { NodeStoppingError, UnknownEndpointError } from '../request-error.js';
 import type { RequestLog } from '../request-log.js';
 import type { CancelTimer, Scheduler } from '../scheduler.js';
-import { LinkPulse, LOSS_MS, type PulseLimits } from './link-pulse.js';
+import { ConnectionLiveness, LOSS_TIMEOUT_MS, type LivenessLimits } from './connection-liveness.js';
 import { RelayConnection } from './relay-connection.js';
 import type { RequestFrame, StreamFrame } from './relay-frame.js';
 import { RELAY_PROTOCOL, RELAY_TOKEN_HEADER } from './relay-protocol.js';
 import { CreditPool } from './credit-pool.js';
-import type { LinkSilence } from './relay-link.js';
+import type { UnresponsiveConnection } from './relay-link.js';
 import { RelayedRequest, type OwnedEndpoints } from './relayed-request.js';
 import { TravelTime } from './travel-time.js';
 
 /** Time after a pause in which cancellations that came meanwhile are read, in milliseconds. */
-const WAKE_SETTLE_MS = 10;
+const RESUME_SETTLE_MS = 10;
 /** Time in which connections with nothing left to send are closed at a planned stop, in milliseconds. */
 export const RELAY_CLOSE_TIMEOUT_MS = 200;
 /**
@@ -28,7 +28,7 @@
  * nobody awaits what it gives up. Without a new connection of the peer it waits for longer, since the
  * peer may only stand still.
  */
-const RECEIVER_PULSE: PulseLimits = { quietMs: 500, unprovenLossMs: 5_000 };
+const RECEIVER_LIVENESS: LivenessLimits = { quietMs: 500, unconfirmedLossTimeoutMs: 5_000 };
 const FORBIDDEN = 'HTTP/1.1 403 Forbidden\r\nConnection: close\r\nContent-Length: 0\r\n\r\n';
 const UPGRADE_REQUIRED_STATUS = 426;
 const UPGRADE_REQUIRED =
@@ -60,9 +60,9 @@
   readonly deadlineWithin: (deadlineAtMs: number) => number;
   readonly requestLog: RequestLog;
   /** Counts a request until the returned function is called. */
-  readonly began: () => () => void;
+  readonly trackRequest: () => () => void;
   /** Told that a peer's connection was given up, since nothing arrived on it. */
-  readonly onSilence?: (from: string, silence: LinkSilence) => void;
+  readonly onUnresponsive?: (from: string, silence: UnresponsiveConnection) => void;
   /** Gets how much longer than usual each request was on its way, in milliseconds. */
   readonly onTravelLostMs?: ((ms: number) => void) | undefined;
   /** Gets the time from the head of each request to the end of its body, in milliseconds. */
@@ -90,8 +90,8 @@
         return;
       }
       const token = headerValue(request.rawHeaders, RELAY_TOKEN_HEADER);
-      const place = request.socket.remoteAddress;
-      this.accept(options.verifyToken(token), { socket, head, place });
+      const remoteAddress = request.socket.remoteAddress;
+      this.accept(options.verifyToken(token), { socket, head, remoteAddress });
     });
     this.http.on('clientError', (_error, socket) => socket.destroy());
   }
@@ -107,8 +107,8 @@
   }
 
   /** Looks whether peers whose requests are under way are silent; to be called now and then. */
-  look(): void {
-    this.peers.forEach((peer) => peer.look());
+  checkLiveness(): void {
+    this.peers.forEach((peer) => peer.checkLiveness());
   }
 
   /**
@@ -117,30 +117,30 @@
    */
   close(): Promise<void> {
     return new Promise((resolve) => {
-      let cancelLook: CancelTimer | undefined;
-      const look = (): void => {
-        if (this.owesAnswers) {
-          cancelLook = this.options.scheduler.schedule(RELAY_CLOSE_TIMEOUT_MS, look);
+      let cancelTimer: CancelTimer | undefined;
+      const resolveOnceSent = (): void => {
+        if (this.hasRecentAnswers) {
+          cancelTimer = this.options.scheduler.schedule(RELAY_CLOSE_TIMEOUT_MS, resolveOnceSent);
         } else {
           resolve();
         }
       };
-      cancelLook = this.options.scheduler.schedule(RELAY_CLOSE_TIMEOUT_MS, look);
-      const check = (): void => {
+      cancelTimer = this.options.scheduler.schedule(RELAY_CLOSE_TIMEOUT_MS, resolveOnceSent);
+      const resolveIfClosed = (): void => {
         if (this.peers.size === 0) {
-          cancelLook?.();
+          cancelTimer?.();
           resolve();
         }
       };
-      this.peers.forEach((peer) => peer.close(check));
-      check();
+      this.peers.forEach((peer) => peer.close(resolveIfClosed));
+      resolveIfClosed();
     });
   }
 
   /** Whether answers to a peer may still be on their way: its process ends with what the system has not sent. */
-  private get owesAnswers(): boolean {
-    const sinceMs = this.options.scheduler.now() - LOSS_MS;
-    return [...this.peers].some(({ answeredAtMs }) => answeredAtMs > sinceMs);
+  private get hasRecentAnswers(): boolean {
+    const sinceMs = this.options.scheduler.now() - LOSS_TIMEOUT_MS;
+    return [...this.peers].some(({ lastAnswerSentAtMs }) => lastAnswerSentAtMs > sinceMs);
   }
 
   /** Cuts all connections. */
@@ -148,19 +148,19 @@
     this.peers.forEach((peer) => peer.destroy());
   }
 
-  private accept(sender: string | undefined, opening: PeerOpening): void {
-    const { socket, place } = opening;
+  private accept(sender: string | undefined, request: PeerConnectionRequest): void {
+    const { socket, remoteAddress } = request;
     if (sender === undefined) {
       this.options.counters.add('ferryspool_relay_forbidden_total');
       socket.end(FORBIDDEN);
       return;
     }
     socket.write(SWITCHED);
-    const forget = (): unknown => this.peers.delete(peer);
-    const peer = new RelayPeer(sender, opening, this.options, this.credits, forget);
+    const remove = (): unknown => this.peers.delete(peer);
+    const peer = new RelayPeer(sender, request, this.options, this.credits, remove);
     for (const other of this.peers) {
-      if (other.place === place) {
-        other.isProvenAlive();
+      if (other.remoteAddress === remoteAddress) {
+        other.confirmPeerAlive();
       }
     }
     this.peers.add(peer);
@@ -168,39 +168,39 @@
 }
 
 /** A connection that a peer has opened. */
-interface PeerOpening {
+interface PeerConnectionRequest {
   readonly socket: Duplex;
   readonly head: Buffer;
   /** IP number of the peer's machine. */
-  readonly place: string | undefined;
+  readonly remoteAddress: string | undefined;
 }
 
 /** The connection of one peer, and its requests. */
 class RelayPeer {
-  readonly place: string | undefined;
+  readonly remoteAddress: string | undefined;
   private readonly requests = new Map<number, RelayedRequest>();
   private readonly connection: RelayConnection;
   private readonly travelTime = new TravelTime();
   /** Requests that are not looked at yet, by stream. */
-  private readonly arrived = new Map<number, RequestFrame>();
+  private readonly pendingRequests = new Map<number, RequestFrame>();
   private onClosed: () => void = () => undefined;
   /** When a frame of an answer was sent last. */
-  answeredAtMs = -Infinity;
+  lastAnswerSentAtMs = -Infinity;
 
   constructor(
     private readonly sender: string,
-    { socket, head, place }: PeerOpening,
+    { socket, head, remoteAddress }: PeerConnectionRequest,
     private readonly options: RelayServerOptions,
     private readonly credits: CreditPool,
-    private readonly forget: () => void,
+    private readonly onRemove: () => void,
   ) {
-    this.place = place;
+    this.remoteAddress = remoteAddress;
     const { scheduler } = options;
     const watch = {
-      pulse: new LinkPulse(RECEIVER_PULSE, 0, scheduler.now()),
+      liveness: new ConnectionLiveness(RECEIVER_LIVENESS, 0, scheduler.now()),
       scheduler,
-      onSilence: (step: 'suspect' | 'silent' | 'lost', quietMs: number) =>
-        this.takeSilence(step, quietMs),
+      onLivenessStep: (step: 'suspect' | 'silent' | 'lost', quietMs: number) =>
+        this.handleLivenessStep(step, quietMs),
     };
     const observer = {
       received: (frames: readonly StreamFrame[]) => this.receive(frames),
@@ -209,28 +209,28 @@
     this.connection = new RelayConnection(socket, head, observer, watch);
   }
 
-  look(): void {
-    this.connection.look(this.owedCount > 0);
+  checkLiveness(): void {
+    this.connection.checkLiveness(this.activeCount > 0);
   }
 
   /** The peer opened another connection. */
-  isProvenAlive(): void {
-    this.connection.isProvenAlive();
+  confirmPeerAlive(): void {
+    this.connection.confirmPeerAlive();
   }
 
   get unstartedCount(): number {
-    return this.arrived.size;
+    return this.pendingRequests.size;
   }
 
-  private get owedCount(): number {
-    return this.requests.size + this.arrived.size;
+  private get activeCount(): number {
+    return this.requests.size + this.pendingRequests.size;
   }
 
   /** The slots and the credit of requests whose sender is gone are needed by others. */
-  private takeSilence(step: 'suspect' | 'silent' | 'lost', quietMs: number): void {
+  private handleLivenessStep(step: 'suspect' | 'silent' | 'lost', quietMs: number): void {
     if (step === 'lost') {
-      this.options.onSilence?.(this.place ?? this.sender, {
-        awaitedCount: this.owedCount,
+      this.options.onUnresponsive?.(this.remoteAddress ?? this.sender, {
+        awaitedCount: this.activeCount,
         quietMs,
       });
       this.connection.destroy();
@@ -256,40 +256,40 @@
    * not run. After a pause of the process, more may be waiting in the system.
    */
   private receive(frames: readonly StreamFrame[]): void {
-    frames.forEach((frame) => this.take(frame));
-    if (this.arrived.size === 0) {
+    frames.forEach((frame) => this.handleFrame(frame));
+    if (this.pendingRequests.size === 0) {
       return;
     }
     if (this.options.hasJustWoken()) {
       const { scheduler, afterRead } = this.options;
-      scheduler.schedule(WAKE_SETTLE_MS, () => afterRead(() => this.startArrived()));
+      scheduler.schedule(RESUME_SETTLE_MS, () => afterRead(() => this.startPending()));
     } else {
-      this.startArrived();
+      this.startPending();
     }
   }
 
-  private take(frame: StreamFrame): void {
+  private handleFrame(frame: StreamFrame): void {
     if (frame.kind === 'request') {
-      this.arrived.set(frame.streamId, frame);
+      this.pendingRequests.set(frame.streamId, frame);
       return;
     }
-    if (frame.kind === 'cancel' && this.arrived.delete(frame.streamId)) {
+    if (frame.kind === 'cancel' && this.pendingRequests.delete(frame.streamId)) {
       return;
     }
-    if (frame.kind === 'body' && this.arrived.has(frame.streamId)) {
-      this.startArrived();
+    if (frame.kind === 'body' && this.pendingRequests.has(frame.streamId)) {
+      this.startPending();
     }
     const request = this.requests.get(frame.streamId);
     if (frame.kind === 'cancel') {
       request?.abandon('cancelled', this.options.requestLog);
     } else {
-      request?.take(frame);
+      request?.handleFrame(frame);
     }
   }
 
-  private startArrived(): void {
-    const frames = [...this.arrived.values()];
-    this.arrived.clear();
+  private startPending(): void {
+    const frames = [...this.pendingRequests.values()];
+    this.pendingRequests.clear();
     frames.forEach((frame) => this.start(frame));
   }
 
@@ -297,12 +297,12 @@
     const { options } = this;
     options.counters.add('ferryspool_relayed_requests_total');
     const { streamId } = frame;
-    const ended = options.began();
+    const untrackRequest = options.trackRequest();
     const link = {
-      send: (sent: StreamFrame) => this.send(sent),
-      over: () => {
+      send: (outgoing: StreamFrame) => this.send(outgoing),
+      ended: () => {
         this.requests.delete(streamId);
-        ended();
+        untrackRequest();
       },
       isStopping: options.isStopping,
     };
@@ -322,7 +322,7 @@
   }
 
   private send(frame: StreamFrame): boolean {
-    this.answeredAtMs = this.options.scheduler.now();
+    this.lastAnswerSentAtMs = this.options.scheduler.now();
     return this.connection.send(frame);
   }
 
@@ -356,11 +356,11 @@
   }
 
   private end(): void {
-    this.arrived.clear();
+    this.pendingRequests.clear();
     for (const request of [...this.requests.values()]) {
       request.abandon('connection-closed', this.options.requestLog);
     }
-    this.forget();
+    this.onRemove();
     this.onClosed();
   }
 }
--- a/src/proxy/relay/relay-token.ts
+++ b/src/proxy/relay/relay-token.ts
@@ -51,8 +51,8 @@
   if (!cryptography().timingSafeEqual(expected, Buffer.from(signature, 'hex'))) {
     return undefined;
   }
-  const leftMs = Number(expiry) - wallClockMs;
-  const isCurrent = leftMs > 0 && leftMs <= 2 * TOKEN_LIFETIME_MS;
+  const remainingMs = Number(expiry) - wallClockMs;
+  const isCurrent = remainingMs > 0 && remainingMs <= 2 * TOKEN_LIFETIME_MS;
   return isCurrent ? machineId : undefined;
 }
 
--- a/src/proxy/relay/relayed-attempt.ts
+++ b/src/proxy/relay/relayed-attempt.ts
@@ -12,7 +12,7 @@
   type RequestError,
 } from '../request-error.js';
 import type { Scheduler } from '../scheduler.js';
-import { isCollected } from './collected-body.js';
+import { isBuffered } from './buffered-body.js';
 import { RelayBodyReader, RelayBodyWriter } from './relay-body.js';
 import type { AnswerFrame, BodyForm, FailureFrame, StreamFrame } from './relay-frame.js';
 import { loadOf } from './relay-load.js';
@@ -22,22 +22,22 @@
 const MAX_INLINE_BODY_BYTES = 4 * 1024;
 
 /** Bytes beyond the usual window that a peer may send at once which is about to stop. */
-const MAX_LAST_BYTES = 512 * 1024;
+const MAX_STOPPING_WINDOW_BYTES = 512 * 1024;
 
 /** What an attempt needs of its link. */
 export interface AttemptLink {
   /** False when the frame can't be built, or there is no connection. */
   readonly send: (frame: StreamFrame) => boolean;
   /** Nothing more is awaited. */
-  readonly over: () => void;
+  readonly ended: () => void;
 }
 
 /** The attempt. */
 export class RelayedAttempt implements Attempt {
   private isSent = false;
-  private isOver = false;
+  private isEnded = false;
   /** Whether everything of the request has gone out, its body included. */
-  private isWholeSent = false;
+  private isFullySent = false;
   private writer: RelayBodyWriter | undefined;
   private reader: RelayBodyReader | undefined;
 
@@ -51,7 +51,7 @@
   ) {}
 
   abort(): void {
-    if (!this.isOver) {
+    if (!this.isEnded) {
       this.cancel();
       this.end();
       this.reader?.destroy();
@@ -66,7 +66,7 @@
   send(): void {
     const { call, endpoint } = this;
     const nowMs = this.scheduler.now();
-    const inline = inlineBytesOf(call.body);
+    const inline = inlineBodyOf(call.body);
     this.isSent = this.link.send({
       kind: 'request',
       streamId: this.streamId,
@@ -81,38 +81,38 @@
       retriesLeft: call.retriesLeft,
       priority: call.priority,
       workClass: call.workClass,
-      targetLeftMs: leftMs(call.targetAtMs, nowMs),
-      startLeftMs: leftMs(call.startByMs, nowMs),
-      bodyForm: formOf(call.body),
+      targetLeftMs: remainingMs(call.targetAtMs, nowMs),
+      startLeftMs: remainingMs(call.startByMs, nowMs),
+      bodyForm: bodyFormOf(call.body),
       bodyBytes: inline === undefined ? (call.body.length ?? 0) : 0,
       bytes: inline ?? Buffer.alloc(0),
     });
-    this.isWholeSent = inline !== undefined || !call.body.isDeclared;
+    this.isFullySent = inline !== undefined || !call.body.isDeclared;
     if (!this.isSent) {
       this.fail(new BadRequestError('the head of the request is too large', HEAD_TOO_LARGE_STATUS));
     }
   }
 
-  take(frame: StreamFrame): void {
+  handleFrame(frame: StreamFrame): void {
     switch (frame.kind) {
       case 'answer':
-        return this.takeAnswer(frame);
+        return this.handleAnswer(frame);
       case 'failure':
-        return this.takeFailure(frame);
+        return this.handleFailure(frame);
       case 'body':
-        return this.takeBody(frame.bytes, frame.isLast);
+        return this.handleBody(frame.bytes, frame.isLast);
       case 'credit':
-        return this.takeCredit(frame.creditBytes);
+        return this.handleCredit(frame.creditBytes);
       case 'cancel':
-        return this.breakAnswer();
+        return this.abortAnswer();
       case 'request':
         return;
     }
   }
 
   /** Nothing has arrived on the connection for `quietMs`, while a new one works. */
-  connectionIsSilent(quietMs: number): void {
-    if (this.reader === undefined && !this.isOver) {
+  connectionUnresponsive(quietMs: number): void {
+    if (this.reader === undefined && !this.isEnded) {
       this.observer.suspected?.({ silent: 'connection', quietMs });
     }
   }
@@ -124,7 +124,7 @@
    */
   peerIsGone(): void {
     const isSafe = this.call.isRepeatable === true || !this.mayHaveReachedEndpoint;
-    if (this.reader === undefined && isSafe && !this.isOver) {
+    if (this.reader === undefined && isSafe && !this.isEnded) {
       this.cancel();
       this.connectionClosed('lost');
     }
@@ -132,7 +132,7 @@
 
   connectionClosed(cause: 'never-sent' | 'lost'): void {
     if (this.reader !== undefined) {
-      this.breakAnswer();
+      this.abortAnswer();
       return;
     }
     const node = `the node of endpoint ${this.endpoint.name}`;
@@ -145,12 +145,12 @@
 
   /** The endpoint's node hands a body that it collects on only once it has all of it. */
   private get mayHaveReachedEndpoint(): boolean {
-    return this.isSent && (this.isWholeSent || !isCollected(this.call.body.length));
+    return this.isSent && (this.isFullySent || !isBuffered(this.call.body.length));
   }
 
   /** The first credit says that the endpoint's node has not refused the request by its head. */
-  private takeCredit(creditBytes: number): void {
-    if (!this.isOver) {
+  private handleCredit(creditBytes: number): void {
+    if (!this.isEnded) {
       this.writer ??= this.streamBody();
       this.writer.addCredit(creditBytes);
     }
@@ -159,12 +159,12 @@
   /** A sender that breaks off leaves a request that can't be completed. */
   private streamBody(): RelayBodyWriter {
     const writer = new RelayBodyWriter((bytes, isLast) => {
-      this.isWholeSent ||= isLast;
+      this.isFullySent ||= isLast;
       this.link.send({ kind: 'body', streamId: this.streamId, bytes, isLast });
     }, 0);
     writer.on('error', () => undefined);
     writer.once('close', () => {
-      if (!writer.writableFinished && !this.isOver) {
+      if (!writer.writableFinished && !this.isEnded) {
         this.cancel();
         this.fail(new ConnectionLostError('the body broke off'));
       }
@@ -173,14 +173,16 @@
     return writer;
   }
 
-  private takeAnswer(frame: AnswerFrame): void {
+  private handleAnswer(frame: AnswerFrame): void {
     if (this.reader !== undefined) {
       return;
     }
     const { status, headers, isHeld, bytes, contentLengthBytes: contentLength } = frame;
     const body: AnswerBody = isHeld ? { kind: 'held', bytes } : this.openReader();
     if (body.kind === 'streamed' && frame.isNodeStopping) {
-      body.collect?.(Math.min(contentLength ?? MAX_LAST_BYTES, MAX_LAST_BYTES));
+      body.collect?.(
+        Math.min(contentLength ?? MAX_STOPPING_WINDOW_BYTES, MAX_STOPPING_WINDOW_BYTES),
+      );
     }
     const answer: Answer = { status, headers, body, contentLength, load: loadOf(frame) };
     if (isHeld) {
@@ -198,18 +200,18 @@
       kind: 'streamed',
       stream: reader,
       isWhole: () => reader.complete,
-      collect: (bytes) => reader.widen(bytes),
+      collect: (bytes) => reader.extendWindow(bytes),
     };
   }
 
-  private takeBody(bytes: Buffer, isLast: boolean): void {
+  private handleBody(bytes: Buffer, isLast: boolean): void {
     this.reader?.receive(bytes, isLast);
     if (isLast) {
       this.end();
     }
   }
 
-  private takeFailure(frame: FailureFrame): void {
+  private handleFailure(frame: FailureFrame): void {
     const { code, verdict, isRetryable: retryable, retryAfterMs, status } = frame;
     const failure = {
       code,
@@ -223,7 +225,7 @@
   }
 
   /** The rest of the answer will not come. */
-  private breakAnswer(): void {
+  private abortAnswer(): void {
     if (this.reader === undefined) {
       this.fail(new MalformedAnswerError('the peer gave the request up'));
       return;
@@ -233,7 +235,7 @@
   }
 
   private fail(error: RequestError): void {
-    if (!this.isOver) {
+    if (!this.isEnded) {
       this.end();
       this.observer.failed(error);
     }
@@ -246,28 +248,28 @@
   }
 
   private end(): void {
-    this.isOver = true;
+    this.isEnded = true;
     this.writer?.destroy();
-    this.link.over();
+    this.link.ended();
   }
 }
 
 /** The body, where it goes with the head; undefined where it waits for credit. */
-function inlineBytesOf(body: RequestBody): Buffer | undefined {
+function inlineBodyOf(body: RequestBody): Buffer | undefined {
   const isInline = body instanceof HeldBody && body.length <= MAX_INLINE_BODY_BYTES;
   return isInline ? body.bytes : undefined;
 }
 
-function formOf(body: RequestBody): BodyForm {
+function bodyFormOf(body: RequestBody): BodyForm {
   if (!body.isDeclared) {
     return 'none';
   }
-  if (inlineBytesOf(body) !== undefined) {
+  if (inlineBodyOf(body) !== undefined) {
     return 'held';
   }
   return body.length === undefined ? 'chunked' : 'sized';
 }
 
-function leftMs(atMs: number | undefined, nowMs: number): number | undefined {
+function remainingMs(atMs: number | undefined, nowMs: number): number | undefined {
   return atMs === undefined ? undefined : Math.round(atMs - nowMs);
 }
--- a/src/proxy/relay/relayed-request.ts
+++ b/src/proxy/relay/relayed-request.ts
@@ -10,16 +10,16 @@
 import { rankInTime } from '../../admission/work-rank.js';
 import { stopFailure } from '../stop-failure.js';
 import type { CancelTimer, Scheduler } from '../scheduler.js';
-import { collectBody, isCollected } from './collected-body.js';
+import { bufferBody, isBuffered } from './buffered-body.js';
 import type { BodyCredit, CreditPool } from './credit-pool.js';
 import { FrameSink } from './frame-sink.js';
 import { RelayBodyReader } from './relay-body.js';
 import type { RequestFrame, StreamFrame } from './relay-frame.js';
-import { frameLoadOf, NO_LOAD } from './relay-load.js';
+import { frameLoadOf, UNKNOWN_LOAD } from './relay-load.js';
 import type { RequestLink } from './request-link.js';
 
 /** How long a collected request waits for a slot at least, in milliseconds: the work of one upload. */
-const COLLECTED_WAIT_MS = 250;
+const MIN_SLOT_WAIT_MS = 250;
 
 /** The endpoints of this node. */
 export interface OwnedEndpoints extends EndpointPath {
@@ -36,13 +36,13 @@
   private readonly reader: RelayBodyReader | undefined;
   private readonly credit: BodyCredit | undefined;
   private readonly streamId: number;
-  private cancelCollecting: CancelTimer | undefined;
+  private cancelBodyTimeout: CancelTimer | undefined;
   private unreserve: () => void = () => undefined;
   private readonly requestId: string;
   private readonly arrivedAtMs: number;
   private attempt: Attempt | undefined;
   private sink: FrameSink | undefined;
-  private isOver = false;
+  private isEnded = false;
 
   constructor(
     frame: RequestFrame,
@@ -56,7 +56,7 @@
     this.arrivedAtMs = scheduler.now();
     if (isStreamed(frame)) {
       this.credit = this.openCredit(frame);
-      this.reader = new RelayBodyReader((bytes) => this.credit?.want(bytes), false);
+      this.reader = new RelayBodyReader((bytes) => this.credit?.addDemand(bytes), false);
     }
     this.body = bodyOf(frame, this.reader, maxBodyBytes);
   }
@@ -67,7 +67,7 @@
    */
   start(endpoints: OwnedEndpoints, endpoint: Endpoint, call: Call): void {
     const { reader, credit } = this;
-    if (reader === undefined || credit === undefined || !isCollected(this.body.length)) {
+    if (reader === undefined || credit === undefined || !isBuffered(this.body.length)) {
       this.submit(endpoints, endpoint, call);
       return;
     }
@@ -77,35 +77,38 @@
       return;
     }
     this.unreserve = () => endpoints.unreserve(endpoint, call);
-    this.refuseUnlessCollected(call, () => endpoints.load(endpoint, call.workClass));
-    collectBody(reader, (body) => {
-      this.cancelCollecting?.();
-      if (!this.isOver) {
-        this.submit(endpoints, endpoint, collectedCall(call, body, this.scheduler.now()));
+    this.scheduleBodyTimeout(call, () => endpoints.load(endpoint, call.workClass));
+    bufferBody(reader, (body) => {
+      this.cancelBodyTimeout?.();
+      if (!this.isEnded) {
+        this.submit(endpoints, endpoint, bufferedCall(call, body, this.scheduler.now()));
       }
     });
   }
 
   private submit(path: EndpointPath, endpoint: Endpoint, call: Call): void {
     const attempt = path.submit(endpoint, call, this);
-    if (!this.isOver) {
+    if (!this.isEnded) {
       this.attempt = attempt;
     }
   }
 
   /** The refusal has to reach the caller's node before the deadline, which tells that it has not run. */
-  private refuseUnlessCollected({ deadlineAtMs }: Call, load: () => LoadReport): void {
-    const leftMs = deadlineAtMs - this.scheduler.now();
-    this.cancelCollecting = this.scheduler.schedule(leftMs - refusalLeadMs(leftMs), () => {
-      this.failed(new DeadlinePassedError('the body did not arrive in time'), load());
-    });
+  private scheduleBodyTimeout({ deadlineAtMs }: Call, load: () => LoadReport): void {
+    const remainingMs = deadlineAtMs - this.scheduler.now();
+    this.cancelBodyTimeout = this.scheduler.schedule(
+      remainingMs - refusalLeadMs(remainingMs),
+      () => {
+        this.failed(new DeadlinePassedError('the body did not arrive in time'), load());
+      },
+    );
   }
 
   /** Takes a frame of the sender. */
-  take(frame: StreamFrame): void {
+  handleFrame(frame: StreamFrame): void {
     switch (frame.kind) {
       case 'body':
-        return this.takeBody(frame.bytes, frame.isLast);
+        return this.handleBody(frame.bytes, frame.isLast);
       case 'credit':
         return this.sink?.addCredit(frame.creditBytes);
       case 'cancel':
@@ -118,7 +121,7 @@
 
   /** Nobody waits for the answer any more; told in the log where the endpoint may be at work. */
   abandon(cause: AbandonCause, log: RequestLog): void {
-    if (!this.isOver) {
+    if (!this.isEnded) {
       if (this.attempt?.isUnsent() === false) {
         log.record({
           event: 'attempt-abandoned',
@@ -135,7 +138,7 @@
 
   /** The node stops: the peer is told what is known. False when the answer has begun to go out. */
   giveUp(log: RequestLog): boolean {
-    if (this.isOver || this.sink?.headersSent === true) {
+    if (this.isEnded || this.sink?.headersSent === true) {
       return false;
     }
     const isUnsent = this.attempt === undefined || this.attempt.isUnsent();
@@ -145,7 +148,7 @@
       request: this.requestId,
       code: error.code,
       verdict: error.verdict,
-      waitedFor: this.awaitedThing(isUnsent),
+      waitedFor: this.awaitedResource(isUnsent),
       elapsedMs: Math.round(this.scheduler.now() - this.arrivedAtMs),
     });
     this.failed(error);
@@ -154,7 +157,7 @@
     return true;
   }
 
-  private awaitedThing(isUnsent: boolean): AwaitedThing {
+  private awaitedResource(isUnsent: boolean): AwaitedThing {
     if (!this.body.isWhole()) {
       return 'body';
     }
@@ -162,7 +165,7 @@
   }
 
   answered(answer: Answer): void {
-    if (this.isOver) {
+    if (this.isEnded) {
       return;
     }
     const load = answer.load && this.withBodyTime(answer.load);
@@ -177,14 +180,14 @@
         whole: () => sink.whenSent(() => this.end()),
         broken: (wasPassedOn) => {
           sink.destroy();
-          this.breakAnswer(wasPassedOn, answer.load);
+          this.abortAnswer(wasPassedOn, answer.load);
         },
       },
     );
   }
 
   failed(error: RequestError, load?: LoadReport): void {
-    if (this.isOver) {
+    if (this.isEnded) {
       return;
     }
     this.end();
@@ -197,7 +200,7 @@
       isRetryable: error.retryable,
       retryAfterMs: error.retryAfterMs === undefined ? undefined : Math.ceil(error.retryAfterMs),
       ...frameLoadOf(
-        load === undefined ? NO_LOAD : this.withBodyTime(load),
+        load === undefined ? UNKNOWN_LOAD : this.withBodyTime(load),
         this.link.isStopping(),
       ),
     });
@@ -209,16 +212,16 @@
    */
   private withBodyTime(load: LoadReport): LoadReport {
     const { serviceMs } = load;
-    const isCollected = this.credit !== undefined;
-    return isCollected && serviceMs !== undefined
+    const hasStreamedBody = this.credit !== undefined;
+    return hasStreamedBody && serviceMs !== undefined
       ? { ...load, serviceMs: serviceMs + this.credits.meanBodyMs }
       : load;
   }
 
-  private breakAnswer(wasPassedOn: boolean, load: LoadReport | undefined): void {
+  private abortAnswer(wasPassedOn: boolean, load: LoadReport | undefined): void {
     if (!wasPassedOn) {
       this.failed(new TruncatedAnswerError('the answer broke off'), load);
-    } else if (!this.isOver) {
+    } else if (!this.isEnded) {
       this.end();
       this.link.send({ kind: 'cancel', streamId: this.streamId });
     }
@@ -234,8 +237,8 @@
     });
   }
 
-  private takeBody(bytes: Buffer, isLast: boolean): void {
-    this.credit?.arrived(bytes.length);
+  private handleBody(bytes: Buffer, isLast: boolean): void {
+    this.credit?.recordArrival(bytes.length);
     if (isLast) {
       this.credit?.close();
     }
@@ -243,15 +246,15 @@
   }
 
   private end(): void {
-    if (!this.isOver) {
-      this.isOver = true;
-      this.cancelCollecting?.();
+    if (!this.isEnded) {
+      this.isEnded = true;
+      this.cancelBodyTimeout?.();
       this.unreserve();
       this.credit?.close();
       if (this.reader?.complete === false) {
         this.reader.destroy();
       }
-      this.link.over();
+      this.link.ended();
     }
   }
 }
@@ -260,15 +263,15 @@
  * A body that is here is not sent to another endpoint for want of a slot: that would carry it over a link
  * again. It waits for one until its target has passed, and then still takes one that comes free soon.
  */
-export function collectedCall(
+export function bufferedCall(
   { targetAtMs, ...call }: Call,
   body: RequestBody,
   nowMs: number,
 ): Call {
-  const waitsUntilMs = targetAtMs ?? call.startByMs;
-  return waitsUntilMs === undefined
+  const waitUntilMs = targetAtMs ?? call.startByMs;
+  return waitUntilMs === undefined
     ? { ...call, body }
-    : { ...call, body, startByMs: Math.max(waitsUntilMs, nowMs + COLLECTED_WAIT_MS) };
+    : { ...call, body, startByMs: Math.max(waitUntilMs, nowMs + MIN_SLOT_WAIT_MS) };
 }
 
 function isStreamed({ bodyForm }: RequestFrame): boolean {
--- a/src/proxy/relay/request-link.ts
+++ b/src/proxy/relay/request-link.ts
@@ -5,6 +5,6 @@
 export interface RequestLink {
   readonly send: (frame: StreamFrame) => void;
   /** The request is over; called once. */
-  readonly over: () => void;
+  readonly ended: () => void;
   readonly isStopping: () => boolean;
 }
--- a/src/proxy/relay/travel-time.ts
+++ b/src/proxy/relay/travel-time.ts
@@ -12,19 +12,19 @@
 /** Estimates from the sender's and the receiver's monotonic clocks, which need not agree. */
 export class TravelTime {
   /** Least differences seen in this window and the one before: those of frames that waited nowhere. */
-  private leastMs = Infinity;
-  private leastBeforeMs = Infinity;
+  private minOffsetMs = Infinity;
+  private previousMinOffsetMs = Infinity;
   private windowEndsAtMs = -Infinity;
 
   /** Time that a frame has lost, in milliseconds; `sentAtMs` is on the sender's clock. */
   lostMs(sentAtMs: number, nowMs: number): number {
     if (nowMs >= this.windowEndsAtMs) {
-      this.leastBeforeMs = this.leastMs;
-      this.leastMs = Infinity;
+      this.previousMinOffsetMs = this.minOffsetMs;
+      this.minOffsetMs = Infinity;
       this.windowEndsAtMs = nowMs + WINDOW_MS;
     }
-    const differenceMs = nowMs - sentAtMs;
-    this.leastMs = Math.min(this.leastMs, differenceMs);
-    return differenceMs - Math.min(this.leastMs, this.leastBeforeMs);
+    const offsetMs = nowMs - sentAtMs;
+    this.minOffsetMs = Math.min(this.minOffsetMs, offsetMs);
+    return offsetMs - Math.min(this.minOffsetMs, this.previousMinOffsetMs);
   }
 }
--- a/src/proxy/request-proxy.ts
+++ b/src/proxy/request-proxy.ts
@@ -21,7 +21,7 @@
 import { PauseDetector } from './pause-detector.js';
 import { DEFAULT_PROXY_LIMITS, type ProxyLimits } from './proxy-limits.js';
 import { RelayClient } from './relay/relay-client.js';
-import type { LinkSilence } from './relay/relay-link.js';
+import type { UnresponsiveConnection } from './relay/relay-link.js';
 import { RELAY_CLOSE_TIMEOUT_MS, RelayServer } from './relay/relay-server.js';
 import { RelayTokenIssuer, verifyRelayToken } from './relay/relay-token.js';
 import { NO_REQUEST_LOG } from './request-log.js';
@@ -190,7 +190,7 @@
   machineIsSilent(machineId: string): void {
     const address = this.options.members.relayAddress(machineId);
     if (address !== undefined) {
-      this.relayClient.forget(address);
+      this.relayClient.retireConnection(address);
     }
     this.services.awaited.machineIsSilent(machineId);
   }
@@ -255,12 +255,12 @@
 
   private look(): void {
     this.pauses.tick(MACHINE_TIME.now());
-    this.relayClient.look();
-    this.relay.look();
+    this.relayClient.checkLiveness();
+    this.relay.checkLiveness();
     this.gateway.look();
   }
 
-  private takeRelaySilence(where: string, { awaitedCount, quietMs }: LinkSilence): void {
+  private takeRelaySilence(where: string, { awaitedCount, quietMs }: UnresponsiveConnection): void {
     this.options.counters.add('ferryspool_relay_silent_total');
     const detail = `${where}: ${awaitedCount} requests, nothing heard for ${Math.round(quietMs)} ms`;
     this.options.logStateChange('relay-silent', detail);
@@ -280,7 +280,7 @@
           this.options.logStateChange('relay-not-connected', detail);
         }
       },
-      onSilence: ({ address }, silence) => this.takeRelaySilence(`to ${address}`, silence),
+      onUnresponsive: ({ address }, silence) => this.takeRelaySilence(`to ${address}`, silence),
       isListed: (endpoint) => this.isListed(endpoint),
       addressOf: ({ spec }) =>
         spec.machine === undefined ? undefined : members.relayAddress(spec.machine),
@@ -335,8 +335,8 @@
       refusesNewWork: () => this.plannedStop.refusesNewWork(MACHINE_TIME.now()),
       deadlineWithin: (deadlineAtMs) => this.plannedStop.deadlineWithin(deadlineAtMs),
       requestLog: this.options.requestLog ?? NO_REQUEST_LOG,
-      onSilence: (from, silence) => this.takeRelaySilence(`from ${from}`, silence),
-      began: () => this.meter.begin(),
+      onUnresponsive: (from, silence) => this.takeRelaySilence(`from ${from}`, silence),
+      trackRequest: () => this.meter.begin(),
       onTravelLostMs: this.options.onTravelLostMs,
       onBodyMs: this.options.onBodyMs,
     });
--- a/test/platform/store-client.test.ts
+++ b/test/platform/store-client.test.ts
@@ -5,7 +5,7 @@
 import { expect } from 'chai';
 import { StoreClient } from '../../platform/store-client.js';
 import { MAX_ERA, revisionOf } from '../../src/store/store-revision.js';
-import { SilentLink } from '../proxy/relay/silent-link.js';
+import { FaultyLink } from '../proxy/relay/faulty-link.js';
 import { pause } from './platform-fleet.js';
 import { StoreStandIn, type StoreFault } from '../../standins/store-platform/store-stand-in.js';
 
@@ -13,13 +13,13 @@
   let store: StoreStandIn;
   let client: StoreClient;
   /** Stands before the store, with a client of its own. */
-  let link: SilentLink;
+  let link: FaultyLink;
   let linked: StoreClient;
 
   beforeEach(async () => {
     store = await StoreStandIn.start();
     client = new StoreClient({ address: '127.0.0.1', port: store.port });
-    link = await SilentLink.start(store.port);
+    link = await FaultyLink.start(store.port);
     linked = new StoreClient({ address: '127.0.0.1', port: link.port });
   });
 
@@ -133,7 +133,7 @@
   it('leaves a watch whose connection is silent soon, and works on a new one at once', async () => {
     store.put('a', '1');
     expect((await linked.watch(1, 100)).outcome).to.equal('changes');
-    link.silence('both');
+    link.dropTraffic('both');
     const silentFromMs = performance.now();
     store.put('a', '2');
     expect((await linked.watch(1, 600)).outcome).to.equal('unavailable');
@@ -147,7 +147,7 @@
     expect((await linked.watch(1, 10)).outcome).to.equal('changes');
     const outcomes: string[] = [];
     for (let round = 0; round < 4; round += 1) {
-      link.hold(900);
+      link.pauseTraffic(900);
       outcomes.push((await linked.watch(1, 10)).outcome);
       await pause(400);
     }
--- a/test/proxy/relay/credit-pool-limits.test.ts
+++ b/test/proxy/relay/credit-pool-limits.test.ts
@@ -20,8 +20,8 @@
 class Link implements Scheduler {
   readonly pool = new CreditPool(this);
   /** Bytes that were granted and have not arrived, now and at most. */
-  underWayBytes = 0;
-  mostUnderWayBytes = 0;
+  inFlightBytes = 0;
+  maxInFlightBytes = 0;
   private readonly clock = new VirtualScheduler();
   private freeAtMs = 0;
   private pausedMs = 0;
@@ -53,16 +53,16 @@
   /** A body whose sender uses all credit at once; its receiver reads at once. */
   upload(lengthBytes: number, rank = 0): Body {
     const body = new Body(this, lengthBytes, rank);
-    body.credit.want(64 * 1024);
+    body.credit.addDemand(64 * 1024);
     return body;
   }
 
   carry(bytes: number, arrived: () => void): void {
-    this.underWayBytes += bytes;
-    this.mostUnderWayBytes = Math.max(this.mostUnderWayBytes, this.underWayBytes);
+    this.inFlightBytes += bytes;
+    this.maxInFlightBytes = Math.max(this.maxInFlightBytes, this.inFlightBytes);
     this.freeAtMs = Math.max(this.freeAtMs, this.now()) + bytes / this.bytesPerMs;
     this.schedule(this.freeAtMs - this.now(), () => {
-      this.underWayBytes -= bytes;
+      this.inFlightBytes -= bytes;
       arrived();
     });
   }
@@ -79,12 +79,12 @@
       lengthBytes,
       grant: (bytes) => {
         this.grantedBytes += bytes;
-        for (let left = bytes; left > 0; left -= FRAME_BYTES) {
-          const part = Math.min(left, FRAME_BYTES);
+        for (let remaining = bytes; remaining > 0; remaining -= FRAME_BYTES) {
+          const part = Math.min(remaining, FRAME_BYTES);
           link.carry(part, () => {
             this.arrivedBytes += part;
-            this.credit.want(part);
-            this.credit.arrived(part);
+            this.credit.addDemand(part);
+            this.credit.recordArrival(part);
             if (this.arrivedBytes === lengthBytes) {
               this.credit.close();
             }
@@ -115,7 +115,7 @@
     const link = new Link(20);
     Array.from({ length: 60 }, () => link.upload(UPLOAD_BYTES));
     link.advance(300_000);
-    expect(link.underWayBytes).to.equal(0);
+    expect(link.inFlightBytes).to.equal(0);
     link.bytesPerMs = 875;
     expect([...outcomesOf(link, 60)]).to.include('taken');
   });
@@ -125,7 +125,7 @@
     Array.from({ length: 10 }, () => link.upload(UPLOAD_BYTES));
     link.pause(5_000);
     link.advance(10_000);
-    expect(link.underWayBytes).to.equal(0);
+    expect(link.inFlightBytes).to.equal(0);
     expect([...outcomesOf(link, 60)]).to.include('taken');
   });
 
@@ -133,7 +133,7 @@
     const link = new Link(125);
     Array.from({ length: 60 }, () => link.upload(UPLOAD_BYTES));
     link.advance(5_000);
-    expect(link.mostUnderWayBytes).to.be.at.most(2 * POOL_BYTES);
+    expect(link.maxInFlightBytes).to.be.at.most(2 * POOL_BYTES);
   });
 
   it('lets a short body pass while a long one of its rank is under way', () => {
--- a/test/proxy/relay/credit-pool.test.ts
+++ b/test/proxy/relay/credit-pool.test.ts
@@ -48,20 +48,20 @@
         this.grantedBytes += bytes;
       },
     });
-    this.credit.want(64 * 1024);
+    this.credit.addDemand(64 * 1024);
   }
 
-  get underWayBytes(): number {
+  get inFlightBytes(): number {
     return this.grantedBytes - this.sentBytes;
   }
 
   /** Sends what it may, up to `bytes`, and ends the body with its last byte. */
   send(bytes = Infinity): void {
-    const sent = Math.min(bytes, this.underWayBytes, this.lengthBytes - this.sentBytes);
+    const sent = Math.min(bytes, this.inFlightBytes, this.lengthBytes - this.sentBytes);
     this.sentBytes += sent;
     if (sent > 0) {
-      this.credit?.want(sent);
-      this.credit?.arrived(sent);
+      this.credit?.addDemand(sent);
+      this.credit?.recordArrival(sent);
     }
     if (this.sentBytes === this.lengthBytes) {
       this.credit?.close();
@@ -75,16 +75,16 @@
     bodies: readonly [number, number][],
     choices: Iterator<number>,
     pick: (ready: readonly Sender[], choice: number) => Sender | undefined,
-    look: (underWayBytes: number) => void,
+    inspect: (inFlightBytes: number) => void,
   ): void {
     const time = new ManualTime();
     const pool = new CreditPool(time);
     const senders = bodies.map(([lengthBytes, rank]) => new Sender(pool, lengthBytes, rank));
     const isOpen = ({ sentBytes, lengthBytes }: Sender): boolean => sentBytes < lengthBytes;
     for (let open = senders; open.length > 0; open = senders.filter(isOpen)) {
-      look(senders.reduce((sum, sender) => sum + sender.underWayBytes, 0));
+      inspect(senders.reduce((sum, sender) => sum + sender.inFlightBytes, 0));
       const choice = Number(choices.next().value);
-      const ready = open.filter(({ underWayBytes }) => underWayBytes > 0);
+      const ready = open.filter(({ inFlightBytes }) => inFlightBytes > 0);
       pick(ready, choice)?.send(1 + (choice % 20_000));
       time.advance(1);
     }
@@ -99,17 +99,17 @@
   it('is never more than the pool for all of them, and carries each to its end', () => {
     fc.assert(
       fc.property(anyBodies, anyChoices, (bodies, choices) => {
-        const waited = new Map<Sender, number>();
+        const lastServedStep = new Map<Sender, number>();
         let step = 0;
-        const longestWaiting = (ready: readonly Sender[]): Sender | undefined => {
+        const leastRecentlyServed = (ready: readonly Sender[]): Sender | undefined => {
           step += 1;
           const [first] = [...ready].sort(
-            (left, right) => (waited.get(left) ?? 0) - (waited.get(right) ?? 0),
+            (left, right) => (lastServedStep.get(left) ?? 0) - (lastServedStep.get(right) ?? 0),
           );
-          return first && waited.set(first, step) && first;
+          return first && lastServedStep.set(first, step) && first;
         };
-        carry(bodies, choices, longestWaiting, (underWayBytes) => {
-          expect(underWayBytes).to.be.within(1, POOL_BYTES);
+        carry(bodies, choices, leastRecentlyServed, (inFlightBytes) => {
+          expect(inFlightBytes).to.be.within(1, POOL_BYTES);
         });
       }),
       { numRuns: 100 },
@@ -121,8 +121,8 @@
       fc.property(anyBodies, anyChoices, (bodies, choices) => {
         const anyOf = (ready: readonly Sender[], choice: number): Sender | undefined =>
           ready[choice % ready.length];
-        carry(bodies, choices, anyOf, (underWayBytes) => {
-          expect(underWayBytes).to.be.within(1, POOL_BYTES + bodies.length * 16_384);
+        carry(bodies, choices, anyOf, (inFlightBytes) => {
+          expect(inFlightBytes).to.be.within(1, POOL_BYTES + bodies.length * 16_384);
         });
       }),
       { numRuns: 100 },
@@ -156,7 +156,7 @@
       ready.send();
     }
     expect(ready.sentBytes).to.equal(ready.lengthBytes);
-    const waiting = silent.map(({ underWayBytes }) => underWayBytes);
+    const waiting = silent.map(({ inFlightBytes }) => inFlightBytes);
     expect(Math.max(...waiting)).to.be.at.most(POOL_BYTES);
   });
 
@@ -170,10 +170,10 @@
     }
     slow.send();
     quick.send();
-    expect(slow.underWayBytes).to.equal(16_384);
+    expect(slow.inFlightBytes).to.equal(16_384);
     slow.send();
     quick.send();
-    expect(slow.underWayBytes).to.equal(POOL_BYTES);
+    expect(slow.inFlightBytes).to.equal(POOL_BYTES);
   });
 
   it('tells how long a body will take behind those that wait, once it has seen them arrive', () => {
@@ -184,14 +184,14 @@
     expect(senders[9]?.credit?.expectedArrival()).to.deep.equal({ beginsAtMs: 0, endsAtMs: 0 });
     for (let step = 0; step < 25; step += 1) {
       time.advance(10);
-      senders.find(({ underWayBytes }) => underWayBytes > 0)?.send(8_192);
+      senders.find(({ inFlightBytes }) => inFlightBytes > 0)?.send(8_192);
     }
-    const owedBytes = 11 * lengthBytes - 25 * 8_192;
+    const remainingBytes = 11 * lengthBytes - 25 * 8_192;
     const last = new Sender(pool, lengthBytes);
     const { beginsAtMs = 0, endsAtMs = 0 } = last.credit?.expectedArrival() ?? {};
-    expect(endsAtMs - time.now()).to.be.closeTo(owedBytes / 819.2, 60);
-    const sooner = owedBytes - lengthBytes - POOL_BYTES;
-    expect(beginsAtMs - time.now()).to.be.closeTo(sooner / 819.2, 60);
+    expect(endsAtMs - time.now()).to.be.closeTo(remainingBytes / 819.2, 60);
+    const aheadBytes = remainingBytes - lengthBytes - POOL_BYTES;
+    expect(beginsAtMs - time.now()).to.be.closeTo(aheadBytes / 819.2, 60);
     const urgent = new Sender(pool, 8_192, -1);
     expect(urgent.credit?.expectedArrival().endsAtMs).to.equal(time.now());
     const second = new Sender(pool, 8_192, -1);
@@ -202,9 +202,9 @@
     const time = new ManualTime();
     const pool = new CreditPool(time);
     expect(pool.meanBodyMs).to.equal(0);
-    const whole = new Sender(pool, 4_096);
+    const completed = new Sender(pool, 4_096);
     time.advance(20);
-    whole.send();
+    completed.send();
     new Sender(pool, 4_096).credit?.close();
     expect(pool.meanBodyMs).to.equal(20);
   });
--- a/test/proxy/relay/delayed-link.ts
+++ b/test/proxy/relay/delayed-link.ts
@@ -7,7 +7,7 @@
 /** The link; any number of bytes pass at once. */
 export class DelayedLink {
   private readonly sockets = new Set<Socket>();
-  private readonly server = net.createServer((near) => this.accept(near));
+  private readonly server = net.createServer((client) => this.accept(client));
 
   private constructor(
     private readonly targetPort: number,
@@ -30,13 +30,13 @@
     this.sockets.forEach((socket) => socket.destroy());
   }
 
-  private accept(near: Socket): void {
-    const far = net.connect(this.targetPort, HOST);
-    this.pass(near, far);
-    this.pass(far, near);
+  private accept(client: Socket): void {
+    const upstream = net.connect(this.targetPort, HOST);
+    this.forward(client, upstream);
+    this.forward(upstream, client);
   }
 
-  private pass(from: Socket, to: Socket): void {
+  private forward(from: Socket, to: Socket): void {
     this.sockets.add(from);
     from.setNoDelay();
     from.on('error', () => from.destroy());
--- a/test/proxy/relay/early-answers.test.ts
+++ b/test/proxy/relay/early-answers.test.ts
@@ -11,7 +11,7 @@
 /** More than fit into the pool of credit together. */
 const REQUESTS = 12;
 /** Time after its answer for which the endpoint reads nothing, in milliseconds. */
-const READ_ON_MS = 50;
+const READ_DELAY_MS = 50;
 
 describe('an endpoint that answers before it has read the body', () => {
   const mesh = new TestMesh();
@@ -74,6 +74,6 @@
     bodyBytesLeft = lengthBytes - (chunk.length - headBytes);
     socket.write(rawAnswer('early'));
     socket.pause();
-    setTimeout(() => socket.resume(), READ_ON_MS);
+    setTimeout(() => socket.resume(), READ_DELAY_MS);
   });
 }
--- a/test/proxy/relay/silent-link.ts
+++ b/test/proxy/relay/faulty-link.ts
@@ -5,28 +5,30 @@
 const HOST = '127.0.0.1';
 
 /** Which bytes of a silenced connection are lost: those towards the port, those from it, or both. */
-export type Silence = 'towards' | 'from' | 'both';
+export type DropDirection = 'towards' | 'from' | 'both';
 
 interface Pair {
-  readonly near: Socket;
-  readonly far: Socket;
-  silence: Silence | undefined;
+  readonly client: Socket;
+  readonly upstream: Socket;
+  dropped: DropDirection | undefined;
   /** Whether what it carries is kept back for a while. */
   isStalled: boolean;
 }
 
 /** The link. New connections work at any time. */
-export class SilentLink {
+export class FaultyLink {
   /** Connections that were opened through the link. */
   openedCount = 0;
-  private isHeld = false;
+  private isPaused = false;
   private readonly pairs = new Set<Pair>();
-  private readonly server = net.createServer({ allowHalfOpen: true }, (near) => this.accept(near));
+  private readonly server = net.createServer({ allowHalfOpen: true }, (client) =>
+    this.accept(client),
+  );
 
   private constructor(private readonly targetPort: number) {}
 
-  static async start(targetPort: number): Promise<SilentLink> {
-    const link = new SilentLink(targetPort);
+  static async start(targetPort: number): Promise<FaultyLink> {
+    const link = new FaultyLink(targetPort);
     link.server.listen(0, HOST);
     await once(link.server, 'listening');
     return link;
@@ -37,29 +39,29 @@
   }
 
   /** From now on the connections that are open carry nothing that way, their ends among it. */
-  silence(silence: Silence): void {
+  dropTraffic(silence: DropDirection): void {
     this.pairs.forEach((pair) => {
-      pair.silence = silence;
+      pair.dropped = silence;
     });
   }
 
   /** Nothing passes for so long, on new connections either: as if the target's process was held up. */
-  hold(heldMs: number): void {
-    this.isHeld = true;
-    this.pairs.forEach((pair) => this.toggle(pair));
+  pauseTraffic(pausedMs: number): void {
+    this.isPaused = true;
+    this.pairs.forEach((pair) => this.applyFlow(pair));
     setTimeout(() => {
-      this.isHeld = false;
-      this.pairs.forEach((pair) => this.toggle(pair));
-    }, heldMs);
+      this.isPaused = false;
+      this.pairs.forEach((pair) => this.applyFlow(pair));
+    }, pausedMs);
   }
 
   /** The connections that are open carry nothing for so long, then all that was sent; new ones work. */
-  stall(stalledMs: number): void {
+  stallConnections(stalledMs: number): void {
     const stalled = [...this.pairs];
     const setStalled = (isStalled: boolean): void =>
       stalled.forEach((pair) => {
         pair.isStalled = isStalled;
-        this.toggle(pair);
+        this.applyFlow(pair);
       });
     setStalled(true);
     setTimeout(() => setStalled(false), stalledMs);
@@ -67,25 +69,25 @@
 
   close(): void {
     this.server.close();
-    this.pairs.forEach(({ near, far }) => {
-      near.destroy();
-      far.destroy();
+    this.pairs.forEach(({ client, upstream }) => {
+      client.destroy();
+      upstream.destroy();
     });
   }
 
-  private accept(near: Socket): void {
+  private accept(client: Socket): void {
     this.openedCount += 1;
-    const far = net.connect({ port: this.targetPort, host: HOST, allowHalfOpen: true });
-    const pair: Pair = { near, far, silence: undefined, isStalled: false };
+    const upstream = net.connect({ port: this.targetPort, host: HOST, allowHalfOpen: true });
+    const pair: Pair = { client, upstream, dropped: undefined, isStalled: false };
     this.pairs.add(pair);
-    this.carry(pair, near, far, 'towards');
-    this.carry(pair, far, near, 'from');
-    this.toggle(pair);
+    this.forward(pair, client, upstream, 'towards');
+    this.forward(pair, upstream, client, 'from');
+    this.applyFlow(pair);
   }
 
-  private toggle({ near, far, isStalled }: Pair): void {
-    for (const socket of [near, far]) {
-      if (this.isHeld || isStalled) {
+  private applyFlow({ client, upstream, isStalled }: Pair): void {
+    for (const socket of [client, upstream]) {
+      if (this.isPaused || isStalled) {
         socket.pause();
       } else {
         socket.resume();
@@ -93,12 +95,12 @@
     }
   }
 
-  private carry(pair: Pair, from: Socket, to: Socket, way: Silence): void {
-    const passes = (): boolean => pair.silence !== 'both' && pair.silence !== way;
+  private forward(pair: Pair, from: Socket, to: Socket, direction: DropDirection): void {
+    const isForwarded = (): boolean => pair.dropped !== 'both' && pair.dropped !== direction;
     from.setNoDelay();
-    from.on('data', (bytes) => passes() && to.write(bytes));
-    from.on('end', () => passes() && to.end());
-    from.on('error', () => passes() && to.destroy());
-    from.on('close', () => passes() && to.destroy());
+    from.on('data', (bytes) => isForwarded() && to.write(bytes));
+    from.on('end', () => isForwarded() && to.end());
+    from.on('error', () => isForwarded() && to.destroy());
+    from.on('close', () => isForwarded() && to.destroy());
   }
 }
--- a/test/proxy/relay/narrow-link.ts
+++ b/test/proxy/relay/narrow-link.ts
@@ -4,10 +4,10 @@
 
 const HOST = '127.0.0.1';
 /** Time between two turns of the link, in milliseconds. */
-const TURN_MS = 2;
+const TICK_MS = 2;
 
 /** Bytes that wait their turn, and where they go. */
-interface Waiting {
+interface QueuedBytes {
   readonly to: Socket;
   readonly bytes: Buffer;
 }
@@ -16,10 +16,10 @@
 export class NarrowLink {
   /** Bytes that were sent towards the port. */
   carriedBytes = 0;
-  private readonly waiting: Waiting[] = [];
+  private readonly queue: QueuedBytes[] = [];
   private readonly sockets = new Set<Socket>();
-  private readonly server = net.createServer((near) => this.accept(near));
-  private readonly timer = setInterval(() => this.passSome(), TURN_MS);
+  private readonly server = net.createServer((client) => this.accept(client));
+  private readonly timer = setInterval(() => this.forwardQueued(), TICK_MS);
 
   private constructor(
     private readonly targetPort: number,
@@ -48,11 +48,11 @@
     this.sockets.forEach((socket) => socket.destroy());
   }
 
-  private accept(near: Socket): void {
-    const far = net.connect(this.targetPort, HOST);
+  private accept(client: Socket): void {
+    const upstream = net.connect(this.targetPort, HOST);
     for (const [socket, other] of [
-      [near, far],
-      [far, near],
+      [client, upstream],
+      [upstream, client],
     ] as const) {
       this.sockets.add(socket);
       socket.setNoDelay();
@@ -62,26 +62,26 @@
         other.destroy();
       });
     }
-    far.pipe(near);
-    near.on('data', (bytes) => {
+    upstream.pipe(client);
+    client.on('data', (bytes) => {
       this.carriedBytes += bytes.length;
-      this.waiting.push({ to: far, bytes });
+      this.queue.push({ to: upstream, bytes });
     });
   }
 
-  private passSome(): void {
-    let left = this.bytesPerMs * TURN_MS;
-    while (left > 0) {
-      const [first] = this.waiting;
+  private forwardQueued(): void {
+    let remaining = this.bytesPerMs * TICK_MS;
+    while (remaining > 0) {
+      const [first] = this.queue;
       if (first === undefined) {
         return;
       }
-      const part = first.bytes.subarray(0, left);
+      const part = first.bytes.subarray(0, remaining);
       first.to.write(part);
-      left -= part.length;
-      this.waiting.shift();
+      remaining -= part.length;
+      this.queue.shift();
       if (part.length < first.bytes.length) {
-        this.waiting.unshift({ to: first.to, bytes: first.bytes.subarray(part.length) });
+        this.queue.unshift({ to: first.to, bytes: first.bytes.subarray(part.length) });
       }
     }
   }
--- a/test/proxy/relay/relay-connection.test.ts
+++ b/test/proxy/relay/relay-connection.test.ts
@@ -7,7 +7,7 @@
   RelayBodyReader,
   RelayBodyWriter,
 } from '../../../src/proxy/relay/relay-body.js';
-import { LinkPulse } from '../../../src/proxy/relay/link-pulse.js';
+import { ConnectionLiveness } from '../../../src/proxy/relay/connection-liveness.js';
 import { RelayConnection } from '../../../src/proxy/relay/relay-connection.js';
 import {
   decodeRelayFrame,
@@ -17,7 +17,7 @@
 import { TravelTime } from '../../../src/proxy/relay/travel-time.js';
 import { FrameReader } from '../../../src/wire/frame-reader.js';
 
-const NOBODY = { received: () => undefined, closed: () => undefined };
+const IGNORING_OBSERVER = { received: () => undefined, closed: () => undefined };
 
 function endOfTurn(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
@@ -39,7 +39,7 @@
     const socket = new PassThrough();
     const chunks: Buffer[] = [];
     socket.on('data', (chunk: Buffer) => chunks.push(chunk));
-    const connection = new RelayConnection(socket, Buffer.alloc(0), NOBODY);
+    const connection = new RelayConnection(socket, Buffer.alloc(0), IGNORING_OBSERVER);
     const part = { kind: 'body', streamId: 1, isLast: false, bytes: Buffer.alloc(1_000) } as const;
     connection.send(part);
     connection.send(part);
@@ -73,43 +73,45 @@
   it('asks soon whether a request arrived, and seldom once that is known', async () => {
     let nowMs = 1_000;
     const socket = new PassThrough();
-    const asked: number[] = [];
-    const limits = { quietMs: 100, unprovenLossMs: Infinity };
-    const connection = new RelayConnection(socket, Buffer.alloc(0), NOBODY, {
-      pulse: new LinkPulse(limits, 1, nowMs),
+    const pingTimesMs: number[] = [];
+    const limits = { quietMs: 100, unconfirmedLossTimeoutMs: Infinity };
+    const connection = new RelayConnection(socket, Buffer.alloc(0), IGNORING_OBSERVER, {
+      liveness: new ConnectionLiveness(limits, 1, nowMs),
       scheduler: { now: () => nowMs, schedule: () => () => undefined },
-      onSilence: (step) => expect.fail(step),
+      onLivenessStep: (step) => expect.fail(step),
     });
     socket.write = (bytes: Buffer) => {
       for (const frame of framesIn([bytes])) {
         if (frame.kind === 'ping') {
-          asked.push(nowMs);
-          socket.push(encodeRelayFrame({ kind: 'acknowledgement', askedAtMs: frame.askedAtMs }));
+          pingTimesMs.push(nowMs);
+          socket.push(
+            encodeRelayFrame({ kind: 'acknowledgement', pingSentAtMs: frame.pingSentAtMs }),
+          );
         }
       }
       return true;
     };
-    const look = async (timesMs: readonly number[]): Promise<number[]> => {
-      asked.length = 0;
+    const pingTimesFor = async (timesMs: readonly number[]): Promise<number[]> => {
+      pingTimesMs.length = 0;
       for (const atMs of timesMs) {
         nowMs = atMs;
-        connection.look(true);
+        connection.checkLiveness(true);
         await endOfTurn();
         await endOfTurn();
       }
-      return [...asked];
+      return [...pingTimesMs];
     };
     connection.send({ kind: 'cancel', streamId: 1 });
     await endOfTurn();
     const timesMs = Array.from({ length: 8 }, (_, idx) => 1_200 + 200 * idx);
-    expect(await look(timesMs)).to.deep.equal([1_200, 1_600, 2_000, 2_400]);
+    expect(await pingTimesFor(timesMs)).to.deep.equal([1_200, 1_600, 2_000, 2_400]);
     connection.send({ kind: 'cancel', streamId: 2 });
     await endOfTurn();
-    expect(await look([2_800, 3_000, 3_200])).to.deep.equal([2_800, 3_200]);
+    expect(await pingTimesFor([2_800, 3_000, 3_200])).to.deep.equal([2_800, 3_200]);
     nowMs = 3_350;
     connection.send({ kind: 'cancel', streamId: 3 });
     await endOfTurn();
-    expect(await look([3_400, 3_600])).to.deep.equal([3_600]);
+    expect(await pingTimesFor([3_400, 3_600])).to.deep.equal([3_600]);
   });
 
   it('holds bodies back while the socket is full, and still sends a cancellation at once', async () => {
@@ -121,16 +123,16 @@
       },
     });
     const socket = Object.assign(stalled, { resume: () => socket }) as unknown as PassThrough;
-    const connection = new RelayConnection(socket, Buffer.alloc(0), NOBODY);
+    const connection = new RelayConnection(socket, Buffer.alloc(0), IGNORING_OBSERVER);
     for (let part = 0; part < 20; part += 1) {
       connection.send({ kind: 'body', streamId: 1, isLast: false, bytes: Buffer.alloc(16_384) });
     }
     await endOfTurn();
-    const heldBytes = socket.writableLength;
+    const queuedBytes = socket.writableLength;
     connection.send({ kind: 'cancel', streamId: 1 });
     await endOfTurn();
-    expect(heldBytes).to.be.within(64 * 1024, 96 * 1024);
-    expect(socket.writableLength - heldBytes).to.be.within(1, 10);
+    expect(queuedBytes).to.be.within(64 * 1024, 96 * 1024);
+    expect(socket.writableLength - queuedBytes).to.be.within(1, 10);
   });
 
   /**
@@ -142,7 +144,7 @@
     const socket = new PassThrough({ highWaterMark: 1 });
     const chunks: Buffer[] = [];
     socket.on('data', (chunk: Buffer) => chunks.push(chunk));
-    const connection = new RelayConnection(socket, Buffer.alloc(0), NOBODY);
+    const connection = new RelayConnection(socket, Buffer.alloc(0), IGNORING_OBSERVER);
     const bytes = Buffer.alloc(16_384);
     for (let part = 0; part < 20; part += 1) {
       connection.send({ kind: 'body', streamId: 1, isLast: part === 19, bytes });
@@ -160,7 +162,7 @@
   it('arrives as it was sent, within its window, however slowly it is read', async () => {
     const sent = Buffer.from(Array.from({ length: 300_000 }, (_, idx) => idx % 251));
     let unreadBytes = 0;
-    let mostBytes = 0;
+    let maxUnreadBytes = 0;
     const received: Buffer[] = [];
     const reader = new RelayBodyReader((bytes) => {
       unreadBytes -= bytes;
@@ -168,7 +170,7 @@
     });
     const writer = new RelayBodyWriter((bytes, isLast) => {
       unreadBytes += bytes.length;
-      mostBytes = Math.max(mostBytes, unreadBytes);
+      maxUnreadBytes = Math.max(maxUnreadBytes, unreadBytes);
       const copy = Buffer.from(bytes);
       setImmediate(() => reader.receive(copy, isLast));
     });
@@ -180,7 +182,7 @@
     await finished(writer);
     expect(Buffer.concat(received).equals(sent)).to.equal(true);
     expect(reader.complete).to.equal(true);
-    expect(mostBytes).to.be.at.most(BODY_WINDOW_BYTES);
+    expect(maxUnreadBytes).to.be.at.most(BODY_WINDOW_BYTES);
   });
 });
 
--- a/test/proxy/relay/relay-frame.test.ts
+++ b/test/proxy/relay/relay-frame.test.ts
@@ -12,7 +12,7 @@
 const count = fc.nat();
 const shortText = fc.string({ maxLength: 60 });
 const bytes = fc.uint8Array({ maxLength: 200 }).map((list) => Buffer.from(list));
-const leftMs = fc.option(fc.integer({ min: -1e6, max: 1e6 }), { nil: undefined });
+const optionalMs = fc.option(fc.integer({ min: -1e6, max: 1e6 }), { nil: undefined });
 const headers = fc.array(fc.stringMatching(/^[a-zA-Z0-9-]{1,12}$/), { minLength: 2, maxLength: 8 });
 const load = {
   inFlight: count,
@@ -38,8 +38,8 @@
     retriesLeft: count,
     priority: count,
     workClass: shortText,
-    targetLeftMs: leftMs,
-    startLeftMs: leftMs,
+    targetLeftMs: optionalMs,
+    startLeftMs: optionalMs,
     bodyForm: fc.constantFrom(
       'none' as const,
       'held' as const,
@@ -79,7 +79,7 @@
   fc.record({ kind: fc.constant('cancel' as const), streamId: count }),
   fc.record({
     kind: fc.constantFrom('ping' as const, 'acknowledgement' as const),
-    askedAtMs: count,
+    pingSentAtMs: count,
   }),
 );
 
--- a/test/proxy/relay/relay-version.test.ts
+++ b/test/proxy/relay/relay-version.test.ts
@@ -55,12 +55,12 @@
   });
 
   const refusals = [
-    { what: 'another version', upgrade: 'ferryspool-relay/1', tokenOf: 'n2' },
-    { what: 'no valid token', upgrade: RELAY_PROTOCOL, tokenOf: undefined },
+    { reason: 'another version', upgrade: 'ferryspool-relay/1', tokenOf: 'n2' },
+    { reason: 'no valid token', upgrade: RELAY_PROTOCOL, tokenOf: undefined },
   ] as const;
-  for (const { what, upgrade, tokenOf } of refusals) {
+  for (const { reason, upgrade, tokenOf } of refusals) {
     for (const end of ['closes', 'resets'] as const) {
-      it(`leave nothing open at a node that refused one for ${what} when the peer ${end} it`, async () => {
+      it(`leave nothing open at a node that refused one for ${reason} when the peer ${end} it`, async () => {
         const { relayPort, proxy } = await mesh.addNode('n1');
         const token = tokenOf === undefined ? '' : mesh.tokenOf(tokenOf);
         for (let count = 0; count < REFUSED_COUNT; count += 1) {
--- a/test/proxy/relay/relayed-bodies.test.ts
+++ b/test/proxy/relay/relayed-bodies.test.ts
@@ -71,24 +71,24 @@
   const clients: RelayClient[] = [];
   const links: NarrowLink[] = [];
   /** Digests of the bodies that the endpoint got whole, and requests that it began, by name. */
-  const whole = new Map<string, string[]>();
-  const begun = new Map<string, number>();
-  let isSilent = false;
+  const receivedDigests = new Map<string, string[]>();
+  const startCounts = new Map<string, number>();
+  let isUnresponsive = false;
   let node: TestNode;
   let server: http.Server;
 
   beforeEach(async () => {
-    isSilent = false;
-    whole.clear();
-    begun.clear();
+    isUnresponsive = false;
+    receivedDigests.clear();
+    startCounts.clear();
     server = http.createServer((request, response) => {
       const id = String(request.headers['x-id']);
-      begun.set(id, (begun.get(id) ?? 0) + 1);
+      startCounts.set(id, (startCounts.get(id) ?? 0) + 1);
       const hash = createHash('sha1');
       request.on('data', (chunk: Buffer) => hash.update(chunk));
       request.on('end', () => {
-        whole.set(id, [...(whole.get(id) ?? []), hash.digest('hex')]);
-        if (!isSilent) {
+        receivedDigests.set(id, [...(receivedDigests.get(id) ?? []), hash.digest('hex')]);
+        if (!isUnresponsive) {
           setTimeout(() => response.end('ran'), 5);
         }
       });
@@ -131,14 +131,14 @@
     return [client, link];
   }
 
-  function callOf(id: string, body: RequestBody, leftMs: number): Call {
+  function callOf(id: string, body: RequestBody, timeoutMs: number): Call {
     return {
       requestId: id,
       method: 'POST',
       target: '/',
       headers: ['Host', 'a', 'x-id', id],
       body,
-      deadlineAtMs: performance.now() + leftMs,
+      deadlineAtMs: performance.now() + timeoutMs,
       callerNode: 'n1',
       retriesLeft: 0,
       priority: Number(id.length % 2),
@@ -147,22 +147,24 @@
   }
 
   /** What is wrong with the end of a request. */
-  function faultsOf(run: Run): string[] {
+  function violationsOf(run: Run): string[] {
     const name = `${run.id} ${run.form} ${run.bytes.length} [${run.outcomes.join()}]`;
     const digest = createHash('sha1').update(run.bytes).digest('hex');
-    const got = whole.get(run.id) ?? [];
-    const faults: string[] = [];
+    const digests = receivedDigests.get(run.id) ?? [];
+    const violations: string[] = [];
     if (run.outcomes.length !== (run.isAborted ? 0 : 1)) {
-      faults.push(`${name}: ${run.isAborted ? 'aborted, ' : ''}${run.outcomes.length} outcomes`);
+      violations.push(
+        `${name}: ${run.isAborted ? 'aborted, ' : ''}${run.outcomes.length} outcomes`,
+      );
     }
-    if (got.length > 1 || got.some((one) => one !== digest)) {
-      faults.push(`${name}: body came ${got.length} times or changed`);
+    if (digests.length > 1 || digests.some((one) => one !== digest)) {
+      violations.push(`${name}: body came ${digests.length} times or changed`);
     }
-    const isToldNotRun = run.outcomes.some((outcome) => outcome.endsWith(' not-run'));
-    if ((isToldNotRun || run.wasUnsentAtAbort) && begun.has(run.id)) {
-      faults.push(`${name}: was begun`);
+    const isReportedNotRun = run.outcomes.some((outcome) => outcome.endsWith(' not-run'));
+    if ((isReportedNotRun || run.wasUnsentAtAbort) && startCounts.has(run.id)) {
+      violations.push(`${name}: was begun`);
     }
-    return faults;
+    return violations;
   }
 
   function openBodies(): number {
@@ -204,21 +206,21 @@
           },
           failed: (error) => run.outcomes.push(`${error.code} ${error.verdict}`),
         });
-        const act = random();
+        const choice = random();
         setTimeout(() => {
-          if (act < 0.25 && run.outcomes.length === 0) {
+          if (choice < 0.25 && run.outcomes.length === 0) {
             run.isAborted = true;
             run.wasUnsentAtAbort = run.attempt?.isUnsent() === true;
             run.attempt?.abort();
-          } else if (act > 0.97) {
+          } else if (choice > 0.97) {
             link.cut();
           }
         }, random() * 300);
         await new Promise((resolve) => setTimeout(resolve, random() * 10));
       }
       await new Promise((resolve) => setTimeout(resolve, 2_500));
-      const faults = runs.flatMap((run) => faultsOf(run));
-      expect(faults).to.deep.equal([]);
+      const violations = runs.flatMap((run) => violationsOf(run));
+      expect(violations).to.deep.equal([]);
       runs.forEach((run) => run.attempt?.abort());
       await new Promise((resolve) => setTimeout(resolve, 200));
       expect(openBodies()).to.equal(0);
@@ -226,7 +228,7 @@
   }
 
   it('are not carried when they come together for an endpoint that has no room for them', async () => {
-    isSilent = true;
+    isUnresponsive = true;
     const endpoint = configure(1);
     const [client, link] = await addPeer('p', 875);
     const outcomes: string[] = [];
--- a/test/proxy/relay/silent-connections.test.ts
+++ b/test/proxy/relay/silent-connections.test.ts
@@ -18,56 +18,59 @@
   type RawEndpoint,
   type TestNode,
 } from '../rig.js';
-import { LOSS_MS, MAX_WAIT_MS } from '../../../src/proxy/relay/link-pulse.js';
+import {
+  LOSS_TIMEOUT_MS,
+  MAX_PING_TIMEOUT_MS,
+} from '../../../src/proxy/relay/connection-liveness.js';
 import { openRelay, type RelaySender } from '../relay-sender.js';
-import { SilentLink, type Silence } from './silent-link.js';
+import { FaultyLink, type DropDirection } from './faulty-link.js';
 
 /** Silence after which what may be repeated is sent elsewhere, with room for a busy machine. */
-const REPEATED_WITHIN_MS = 1_000;
+const RETRIED_WITHIN_MS = 1_000;
 /** Silence after which the other requests get their final answer, likewise: not before a slow one has it. */
-const GIVEN_UP_WITHIN_MS = LOSS_MS + 800;
+const FAILED_WITHIN_MS = LOSS_TIMEOUT_MS + 800;
 /** Silence after which the endpoint's node lets go of what a peer sent it, likewise. */
-const LET_GO_WITHIN_MS = LOSS_MS + 1_500;
+const RELEASED_WITHIN_MS = LOSS_TIMEOUT_MS + 1_500;
 /** The same where the peer opens no new connection: its machine may only stand still. */
-const LET_GO_UNPROVEN_WITHIN_MS = 6_500;
+const RELEASED_UNCONFIRMED_WITHIN_MS = 6_500;
 const DEADLINE_MS = 8_000;
 /** Time for which no new connection works: longer than a connection is awaited without one. */
-const NO_NEW_CONNECTION_MS = LOSS_MS + 700;
+const NO_NEW_CONNECTION_MS = LOSS_TIMEOUT_MS + 700;
 /** Time from a new connection that works to the end of what the silent one carried, with the same room. */
-const GIVEN_UP_AGAIN_WITHIN_MS = MAX_WAIT_MS + 800;
+const FAILED_AFTER_RECONNECT_WITHIN_MS = MAX_PING_TIMEOUT_MS + 800;
 /** Before any look at the connection finds it quiet. */
-const LEAVES_AFTER_MS = 30;
+const ABORT_AFTER_MS = 30;
 
-const SILENCES: readonly Silence[] = ['both', 'towards', 'from'];
+const DROP_DIRECTIONS: readonly DropDirection[] = ['both', 'towards', 'from'];
 
 describe('a connection between two nodes that goes silent', () => {
   const mesh = new TestMesh();
-  let link: SilentLink;
+  let link: FaultyLink;
   let target: RawEndpoint;
   let caller: TestNode;
   let owner: TestNode;
   /** Answers of the endpoint are held back while set. */
-  let isHeld = false;
+  let isAnswerDelayed = false;
   /** Answers begin, and do not end, while set. */
   let isStreamed = false;
-  const release: (() => void)[] = [];
+  const delayedAnswers: (() => void)[] = [];
 
   beforeEach(async () => {
-    isHeld = false;
+    isAnswerDelayed = false;
     isStreamed = false;
-    release.length = 0;
+    delayedAnswers.length = 0;
     target = await startRawEndpoint((socket) => {
       const answer = (): unknown => socket.write(rawAnswer('ran'));
       if (isStreamed) {
         socket.write('HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n');
-      } else if (isHeld) {
-        release.push(answer);
+      } else if (isAnswerDelayed) {
+        delayedAnswers.push(answer);
       } else {
         answer();
       }
     });
     owner = await mesh.addNode('n2');
-    link = await SilentLink.start(owner.relayPort);
+    link = await FaultyLink.start(owner.relayPort);
     mesh.nodes[0] = { ...owner, relayPort: link.port };
     caller = await mesh.addNode('n1');
   });
@@ -92,19 +95,23 @@
   }
 
   /** A request that is at the endpoint when its connection goes silent, and the time to its answer. */
-  async function interrupt(kind: 'safe' | 'unsafe', silence: Silence) {
+  async function interrupt(kind: 'safe' | 'unsafe', direction: DropDirection) {
     configure(kind);
     expect((await send(kind)).status).to.equal(200);
-    isHeld = true;
+    isAnswerDelayed = true;
     const before = target.heads.length;
     const answer = send(kind);
     await until(() => target.heads.length > before);
-    isHeld = false;
-    link.silence(silence);
+    isAnswerDelayed = false;
+    link.dropTraffic(direction);
     const silentFromMs = performance.now();
-    release.splice(0).forEach((answerNow) => answerNow());
+    delayedAnswers.splice(0).forEach((answerNow) => answerNow());
     const result = await answer;
-    return { result, tookMs: performance.now() - silentFromMs, runs: target.heads.length - before };
+    return {
+      result,
+      responseMs: performance.now() - silentFromMs,
+      runs: target.heads.length - before,
+    };
   }
 
   /**
@@ -116,81 +123,81 @@
   it('gives up what it carried soon after new connections work again', async () => {
     configure('unsafe');
     expect((await send('unsafe')).status).to.equal(200);
-    isHeld = true;
+    isAnswerDelayed = true;
     const before = target.heads.length;
     const answer = send('unsafe');
     await until(() => target.heads.length > before);
-    isHeld = false;
-    link.silence('both');
-    link.hold(NO_NEW_CONNECTION_MS);
+    isAnswerDelayed = false;
+    link.dropTraffic('both');
+    link.pauseTraffic(NO_NEW_CONNECTION_MS);
     await new Promise((resolve) => setTimeout(resolve, NO_NEW_CONNECTION_MS));
     expect((await send('unsafe')).status).to.equal(200);
-    const workedAtMs = performance.now();
+    const reconnectedAtMs = performance.now();
     expect((await answer).status).to.equal(502);
-    expect(performance.now() - workedAtMs).to.be.below(GIVEN_UP_AGAIN_WITHIN_MS);
+    expect(performance.now() - reconnectedAtMs).to.be.below(FAILED_AFTER_RECONNECT_WITHIN_MS);
   }).timeout(2 * DEADLINE_MS);
 
   it('loses no request that may be repeated, and serves later ones at once', async () => {
-    for (const silence of SILENCES) {
-      const { result, tookMs } = await interrupt('safe', silence);
-      expect(result, silence).to.include({ status: 200, body: 'ran' });
-      expect(tookMs, silence).to.be.below(REPEATED_WITHIN_MS);
+    for (const direction of DROP_DIRECTIONS) {
+      const { result, responseMs } = await interrupt('safe', direction);
+      expect(result, direction).to.include({ status: 200, body: 'ran' });
+      expect(responseMs, direction).to.be.below(RETRIED_WITHIN_MS);
       // Where answers still pass, it is this one that finds out.
       const nextAtMs = performance.now();
-      expect((await send('safe')).status, silence).to.equal(200);
-      expect(performance.now() - nextAtMs, silence).to.be.below(REPEATED_WITHIN_MS);
+      expect((await send('safe')).status, direction).to.equal(200);
+      expect(performance.now() - nextAtMs, direction).to.be.below(RETRIED_WITHIN_MS);
       const laterAtMs = performance.now();
-      expect((await send('safe')).status, silence).to.equal(200);
-      expect(performance.now() - laterAtMs, silence).to.be.below(300);
+      expect((await send('safe')).status, direction).to.equal(200);
+      expect(performance.now() - laterAtMs, direction).to.be.below(300);
     }
-    expect(link.openedCount).to.equal(1 + SILENCES.length);
+    expect(link.openedCount).to.equal(1 + DROP_DIRECTIONS.length);
   });
 
   it('ends what may have run long before its deadline, and runs it once', async () => {
-    for (const silence of ['both', 'from'] as const) {
-      const { result, tookMs, runs } = await interrupt('unsafe', silence);
-      expect(result.status, silence).to.equal(502);
-      expect(tookMs, silence).to.be.below(GIVEN_UP_WITHIN_MS);
-      expect(runs, silence).to.equal(1);
+    for (const direction of ['both', 'from'] as const) {
+      const { result, responseMs, runs } = await interrupt('unsafe', direction);
+      expect(result.status, direction).to.equal(502);
+      expect(responseMs, direction).to.be.below(FAILED_WITHIN_MS);
+      expect(runs, direction).to.equal(1);
     }
     const before = target.heads.length;
-    link.silence('towards');
+    link.dropTraffic('towards');
     const sentAtMs = performance.now();
     expect((await send('unsafe')).status).to.equal(502);
-    expect(performance.now() - sentAtMs).to.be.below(GIVEN_UP_WITHIN_MS);
+    expect(performance.now() - sentAtMs).to.be.below(FAILED_WITHIN_MS);
     expect(target.heads).to.have.length(before);
-    await breaksOffTheAnswerUnderWay();
+    await expectAnswerInProgressTruncated();
   });
 
-  async function breaksOffTheAnswerUnderWay(): Promise<void> {
+  async function expectAnswerInProgressTruncated(): Promise<void> {
     isStreamed = true;
     const answer = send('unsafe');
     const before = target.heads.length;
     await until(() => target.heads.length > before);
     await new Promise((resolve) => setTimeout(resolve, 100));
-    link.silence('from');
+    link.dropTraffic('from');
     const silentFromMs = performance.now();
     const result = await answer;
     expect(result).to.include({ status: 200, body: 'half', isWhole: false });
-    expect(performance.now() - silentFromMs).to.be.below(GIVEN_UP_WITHIN_MS);
+    expect(performance.now() - silentFromMs).to.be.below(FAILED_WITHIN_MS);
   }
 
   /** A request whose caller leaves before there is any answer. */
-  async function sendAndLeave(): Promise<void> {
+  async function sendAndAbort(): Promise<void> {
     const { callerPort: port } = caller;
     const request = http.request({ host: '127.0.0.1', port, method: 'POST', agent: false });
     request.on('error', () => undefined);
     request.end();
-    await new Promise((resolve) => setTimeout(resolve, LEAVES_AFTER_MS));
+    await new Promise((resolve) => setTimeout(resolve, ABORT_AFTER_MS));
     request.destroy();
   }
 
-  for (const silence of SILENCES) {
-    it(`is found out by a request whose caller left, lost ${silence}, before the next one`, async () => {
+  for (const direction of DROP_DIRECTIONS) {
+    it(`is found out by a request whose caller left, lost ${direction}, before the next one`, async () => {
       configure('unsafe');
       expect((await send('unsafe')).status).to.equal(200);
-      link.silence(silence);
-      await sendAndLeave();
+      link.dropTraffic(direction);
+      await sendAndAbort();
       await until(() => link.openedCount === 2);
       const sentAtMs = performance.now();
       expect((await send('unsafe')).status).to.equal(200);
@@ -198,19 +205,19 @@
     });
   }
 
-  for (const heldMs of [200, 600]) {
-    it(`is not seen in a peer that is held up for ${heldMs} ms`, async () => {
+  for (const pausedMs of [200, 600]) {
+    it(`is not seen in a peer that is held up for ${pausedMs} ms`, async () => {
       configure('safe');
       for (let round = 0; round < 3; round += 1) {
-        isHeld = true;
+        isAnswerDelayed = true;
         const before = target.heads.length;
         const answer = send('safe');
         await until(() => target.heads.length > before);
         await new Promise((resolve) => setTimeout(resolve, 70 * round));
-        link.hold(heldMs);
-        await new Promise((resolve) => setTimeout(resolve, heldMs + 300));
-        isHeld = false;
-        release.splice(0).forEach((answerNow) => answerNow());
+        link.pauseTraffic(pausedMs);
+        await new Promise((resolve) => setTimeout(resolve, pausedMs + 300));
+        isAnswerDelayed = false;
+        delayedAnswers.splice(0).forEach((answerNow) => answerNow());
         expect((await answer).status).to.equal(200);
         expect(target.heads).to.have.length(before + 1);
       }
@@ -220,14 +227,14 @@
   }
 
   /** A peer whose connection goes silent with one request at the endpoint and one body under way. */
-  async function silencePeer(): Promise<RelaySender> {
+  async function beginThenDropTraffic(): Promise<RelaySender> {
     configure('unsafe');
     const sender = await openSender();
-    isHeld = true;
+    isAnswerDelayed = true;
     sender.request({ remainingMs: DEADLINE_MS });
     sender.request({ remainingMs: DEADLINE_MS, bodyForm: 'sized', bodyBytes: 60_000 });
     await until(() => target.heads.length === 1);
-    link.silence('both');
+    link.dropTraffic('both');
     return sender;
   }
 
@@ -239,7 +246,7 @@
     return opening.sender;
   }
 
-  async function msUntilLetGo(): Promise<number> {
+  async function msUntilReleased(): Promise<number> {
     const silentFromMs = performance.now();
     await until(() => target.cancelled.length === 1);
     expect(owner.counters.get('ferryspool_relay_silent_total')).to.equal(1);
@@ -247,18 +254,18 @@
   }
 
   it('lets go of what a peer had begun to send, and of the slot that it took', async () => {
-    const senders = [await silencePeer()];
-    const letGo = msUntilLetGo();
+    const senders = [await beginThenDropTraffic()];
+    const releaseMs = msUntilReleased();
     await new Promise((resolve) => setTimeout(resolve, 400));
     senders.push(await openSender());
-    expect(await letGo).to.be.below(LET_GO_WITHIN_MS);
+    expect(await releaseMs).to.be.below(RELEASED_WITHIN_MS);
     senders.forEach((sender) => sender.destroy());
   });
 
   it('lets go later where the peer opens no new connection', async () => {
-    const sender = await silencePeer();
-    const tookMs = await msUntilLetGo();
-    expect(tookMs).to.be.within(LET_GO_WITHIN_MS, LET_GO_UNPROVEN_WITHIN_MS);
+    const sender = await beginThenDropTraffic();
+    const releaseMs = await msUntilReleased();
+    expect(releaseMs).to.be.within(RELEASED_WITHIN_MS, RELEASED_UNCONFIRMED_WITHIN_MS);
     sender.destroy();
   });
 });
--- a/test/proxy/relay/slow-connections.test.ts
+++ b/test/proxy/relay/slow-connections.test.ts
@@ -20,31 +20,31 @@
 const WORK_MS = 150;
 
 describe('an attempt over a connection between nodes that is slow', () => {
-  let world: SlowMesh;
-  let near: TestNode;
+  let setup: SlowMesh;
+  let caller: TestNode;
 
   beforeEach(async () => {
-    world = await SlowMesh.start();
+    setup = await SlowMesh.start();
   });
 
-  afterEach(() => world.close());
+  afterEach(() => setup.close());
 
-  async function takeOtherNodeAway(): Promise<void> {
-    world.moveOtherNode(await closedPort());
+  async function makeOtherNodeUnreachable(): Promise<void> {
+    setup.moveOtherNode(await closedPort());
   }
 
   for (const isStopping of [false, true]) {
     describe(isStopping ? 'to a node that stops' : 'to a node that goes on', () => {
       /** A request that is at work at the first endpoint when its connection stalls. */
       async function begin(kind: RequestKind, stalledMs: number, maxRetries: number) {
-        near = await world.mesh.addNode('n1', { maxRetries, stopTimeoutMs: DEADLINE_MS });
-        world.configure(kind, DEADLINE_MS);
+        caller = await setup.mesh.addNode('n1', { maxRetries, stopTimeoutMs: DEADLINE_MS });
+        setup.configure(kind, DEADLINE_MS);
         const method = kind === 'safe' ? 'GET' : 'POST';
-        const answer = call(near.callerPort, { method });
-        await until(() => world.slow.heads.length === 1);
-        world.link.stall(stalledMs);
-        const stopped = isStopping ? near.proxy.stop() : Promise.resolve();
-        setTimeout(() => world.answerSlow(), WORK_MS);
+        const answer = call(caller.callerPort, { method });
+        await until(() => setup.slow.heads.length === 1);
+        setup.link.stallConnections(stalledMs);
+        const stopped = isStopping ? caller.proxy.stop() : Promise.resolve();
+        setTimeout(() => setup.answerSlow(), WORK_MS);
         return { answer, stopped };
       }
 
@@ -52,54 +52,54 @@
         const { answer, stopped } = await begin('safe', STALLED_MS, 0);
         expect(await answer).to.include({ status: 200, body: 'slow' });
         await stopped;
-        expect(world.slow.cancelled).to.deep.equal([]);
+        expect(setup.slow.cancelled).to.deep.equal([]);
       });
 
       it('is waited for when another attempt reaches nobody', async () => {
-        await takeOtherNodeAway();
+        await makeOtherNodeUnreachable();
         const { answer, stopped } = await begin('safe', STALLED_MS, 2);
         expect(await answer).to.include({ status: 200, body: 'slow' });
         await stopped;
-        expect(world.slow.cancelled).to.deep.equal([]);
+        expect(setup.slow.cancelled).to.deep.equal([]);
       });
 
       it('is waited for by a request that may run only once', async () => {
         const { answer, stopped } = await begin('unsafe', LONG_STALLED_MS, 2);
         expect(await answer).to.include({ status: 200, body: 'slow' });
         await stopped;
-        expect(world.slow.cancelled).to.deep.equal([]);
-        expect(world.other.heads).to.deep.equal([]);
+        expect(setup.slow.cancelled).to.deep.equal([]);
+        expect(setup.other.heads).to.deep.equal([]);
       });
 
       it('brings the answer when it comes before that of another attempt, which is cancelled', async () => {
         const { answer, stopped } = await begin('safe', STALLED_MS, 2);
-        await until(() => world.other.heads.length === 1);
+        await until(() => setup.other.heads.length === 1);
         expect(await answer).to.include({ status: 200, body: 'slow' });
-        await until(() => world.other.cancelled.length === 1);
+        await until(() => setup.other.cancelled.length === 1);
         await stopped;
       });
 
       it('is cancelled once another attempt is answered', async () => {
         const { answer, stopped } = await begin('safe', LONG_STALLED_MS, 2);
-        world.slowSockets.length = 0;
-        await until(() => world.other.heads.length === 1);
-        world.answerOther();
+        setup.slowSockets.length = 0;
+        await until(() => setup.other.heads.length === 1);
+        setup.answerOther();
         expect(await answer).to.include({ status: 200, body: 'other' });
-        await until(() => world.slow.cancelled.length === 1);
+        await until(() => setup.slow.cancelled.length === 1);
         await stopped;
       });
     });
   }
 
   it('is waited for when the peer itself seems silent and another attempt reaches nobody', async () => {
-    near = await world.mesh.addNode('n1', { maxRetries: 2 });
-    world.configure('safe', DEADLINE_MS);
-    await takeOtherNodeAway();
-    const answer = call(near.callerPort);
-    await until(() => world.slow.heads.length === 1);
-    near.proxy.machineIsSilent('n2');
-    setTimeout(() => world.answerSlow(), WORK_MS);
+    caller = await setup.mesh.addNode('n1', { maxRetries: 2 });
+    setup.configure('safe', DEADLINE_MS);
+    await makeOtherNodeUnreachable();
+    const answer = call(caller.callerPort);
+    await until(() => setup.slow.heads.length === 1);
+    caller.proxy.machineIsSilent('n2');
+    setTimeout(() => setup.answerSlow(), WORK_MS);
     expect(await answer).to.include({ status: 200, body: 'slow' });
-    expect(world.slow.cancelled).to.deep.equal([]);
+    expect(setup.slow.cancelled).to.deep.equal([]);
   });
 });
--- a/test/proxy/relay/slow-mesh.ts
+++ b/test/proxy/relay/slow-mesh.ts
@@ -9,7 +9,7 @@
   type RawEndpoint,
   type TestNode,
 } from '../rig.js';
-import { SilentLink } from './silent-link.js';
+import { FaultyLink } from './faulty-link.js';
 
 /** Requests that may run more than once, and others. */
 export type RequestKind = 'safe' | 'unsafe';
@@ -19,7 +19,7 @@
   /** `slowSockets` and `otherSockets` are the connections of the requests at each endpoint. */
   private constructor(
     readonly mesh: TestMesh,
-    readonly link: SilentLink,
+    readonly link: FaultyLink,
     readonly slow: RawEndpoint,
     readonly slowSockets: Socket[],
     readonly other: RawEndpoint,
@@ -32,9 +32,9 @@
     const otherSockets: Socket[] = [];
     const slow = await startRawEndpoint((socket) => slowSockets.push(socket));
     const other = await startRawEndpoint((socket) => otherSockets.push(socket));
-    const beside = await mesh.addNode('n2');
-    const link = await SilentLink.start(beside.relayPort);
-    mesh.nodes[0] = { ...beside, relayPort: link.port };
+    const slowNode = await mesh.addNode('n2');
+    const link = await FaultyLink.start(slowNode.relayPort);
+    mesh.nodes[0] = { ...slowNode, relayPort: link.port };
     await mesh.addNode('n3');
     return new SlowMesh(mesh, link, slow, slowSockets, other, otherSockets);
   }
--- a/test/proxy/relay/stop-with-backlog.test.ts
+++ b/test/proxy/relay/stop-with-backlog.test.ts
@@ -17,7 +17,7 @@
   type RawEndpoint,
   type TestNode,
 } from '../rig.js';
-import { SilentLink } from './silent-link.js';
+import { FaultyLink } from './faulty-link.js';
 
 const STALLED_MS = 900;
 /** Together more than the system takes of a connection that nobody reads. */
@@ -27,18 +27,18 @@
 
 describe('a node that stops with answers on their way to a peer', () => {
   const mesh = new TestMesh();
-  let link: SilentLink;
+  let link: FaultyLink;
   let target: RawEndpoint;
-  let beside: TestNode;
+  let owner: TestNode;
   const answers: (() => void)[] = [];
 
   beforeEach(async () => {
     target = await startRawEndpoint((socket) => {
       answers.push(() => socket.write(rawAnswer('a'.repeat(ANSWER_BYTES))));
     });
-    beside = await mesh.addNode('n2', { stopTimeoutMs: DEADLINE_MS });
-    link = await SilentLink.start(beside.relayPort);
-    mesh.nodes[0] = { ...beside, relayPort: link.port };
+    owner = await mesh.addNode('n2', { stopTimeoutMs: DEADLINE_MS });
+    link = await FaultyLink.start(owner.relayPort);
+    mesh.nodes[0] = { ...owner, relayPort: link.port };
   });
 
   afterEach(() => {
@@ -48,7 +48,7 @@
   });
 
   it('sends them on a connection that is slow for a while', async () => {
-    const near = await mesh.addNode('n1', { maxRetries: 0 });
+    const caller = await mesh.addNode('n1', { maxRetries: 0 });
     mesh.configure([
       ...echoService({ timeoutMs: DEADLINE_MS, repeatable: false }),
       echoEndpoint('e1', target.port, {
@@ -58,14 +58,14 @@
       }),
     ]);
     const results = Promise.all(
-      Array.from({ length: REQUESTS }, () => call(near.callerPort, { method: 'POST' })),
+      Array.from({ length: REQUESTS }, () => call(caller.callerPort, { method: 'POST' })),
     );
     await until(() => answers.length === REQUESTS);
-    link.stall(STALLED_MS);
+    link.stallConnections(STALLED_MS);
     answers.forEach((answerNow) => answerNow());
     await new Promise((resolve) => setTimeout(resolve, 100));
-    await beside.proxy.stop();
-    const whole = (await results).filter(({ body }) => body.length === ANSWER_BYTES);
-    expect(whole).to.have.length(REQUESTS);
+    await owner.proxy.stop();
+    const complete = (await results).filter(({ body }) => body.length === ANSWER_BYTES);
+    expect(complete).to.have.length(REQUESTS);
   });
 });
--- a/test/proxy/relay/dark-link.ts
+++ b/test/proxy/relay/unreachable-link.ts
@@ -6,7 +6,7 @@
 /** More connections than wait at a listener that takes none. */
 const FILLERS = 4;
 /** Time in which a connection is set up where it is answered. */
-const ANSWERED_MS = 200;
+const CONNECT_MS = 200;
 
 /** Runs in a thread of its own, which stands still while the link is dark. */
 const PROXY = `
@@ -27,7 +27,7 @@
 `;
 
 /** The link. */
-export class DarkLink {
+export class UnreachableLink {
   private readonly fillers: Socket[] = [];
 
   private constructor(
@@ -35,22 +35,22 @@
     readonly port: number,
   ) {}
 
-  static async start(targetPort: number): Promise<DarkLink> {
+  static async start(targetPort: number): Promise<UnreachableLink> {
     const worker = new Worker(PROXY, { eval: true, workerData: { targetPort } });
     const port = await new Promise<number>((resolve) => worker.once('message', resolve));
-    return new DarkLink(worker, port);
+    return new UnreachableLink(worker, port);
   }
 
   /** Goes dark for so long; resolves once new connections are not answered any more. */
-  async goDark(darkMs: number): Promise<void> {
-    this.worker.postMessage(darkMs);
-    await new Promise((resolve) => setTimeout(resolve, ANSWERED_MS));
+  async block(blockedMs: number): Promise<void> {
+    this.worker.postMessage(blockedMs);
+    await new Promise((resolve) => setTimeout(resolve, CONNECT_MS));
     for (let opened = 0; opened < FILLERS; opened += 1) {
       const filler = net.connect(this.port, HOST);
       filler.on('error', () => undefined);
       this.fillers.push(filler);
     }
-    await new Promise((resolve) => setTimeout(resolve, ANSWERED_MS));
+    await new Promise((resolve) => setTimeout(resolve, CONNECT_MS));
   }
 
   async close(): Promise<void> {
--- a/test/proxy/relay/upload-bodies.test.ts
+++ b/test/proxy/relay/upload-bodies.test.ts
@@ -18,7 +18,7 @@
 import type { Endpoint } from '../../../src/model/resource.js';
 import type { Answer, Call } from '../../../src/proxy/call.js';
 import { RelayClient } from '../../../src/proxy/relay/relay-client.js';
-import type { LinkSilence } from '../../../src/proxy/relay/relay-link.js';
+import type { UnresponsiveConnection } from '../../../src/proxy/relay/relay-link.js';
 import { EMPTY_BODY, HeldBody } from '../../../src/proxy/request-body.js';
 import type { RequestError } from '../../../src/proxy/request-error.js';
 import { MACHINE_TIME } from '../../../src/proxy/scheduler.js';
@@ -44,11 +44,11 @@
   let target: RawEndpoint;
   let count = 0;
   let openedCount = 0;
-  const silences: LinkSilence[] = [];
+  const unresponsiveConnections: UnresponsiveConnection[] = [];
 
   beforeEach(async () => {
     openedCount = 0;
-    silences.length = 0;
+    unresponsiveConnections.length = 0;
     target = await startRawEndpoint((socket) => socket.write(rawAnswer('ran')));
     const { relayPort } = await mesh.addNode('n2');
     link = await NarrowLink.start(relayPort, LINK_BYTES_PER_MS);
@@ -81,7 +81,7 @@
       onConnect: () => {
         openedCount += 1;
       },
-      onSilence: (_address, silence) => silences.push(silence),
+      onUnresponsive: (_address, silence) => unresponsiveConnections.push(silence),
       scheduler: MACHINE_TIME,
       token: () => mesh.tokenOf(name),
       addressOf: () => ({ address: '127.0.0.1', port: link.port }),
@@ -119,13 +119,13 @@
   it('do not let the connection that they fill be taken for silent', async () => {
     const endpoint = configure();
     const peers = Array.from({ length: 4 }, (_none, index) => addPeer(`p${index}`));
-    const looks = setInterval(() => peers.forEach((peer) => peer.look()), 20);
+    const checkTimer = setInterval(() => peers.forEach((peer) => peer.checkLiveness()), 20);
     await Promise.all(peers.map((peer) => submit(peer, endpoint, undefined)));
     const body = Buffer.alloc(600_000, 'u');
     const ends = await Promise.all(peers.map((peer) => submit(peer, endpoint, body)));
-    clearInterval(looks);
+    clearInterval(checkTimer);
     expect(ends.every((answer) => 'body' in answer && answer.status === 200)).to.equal(true);
-    expect(silences).to.deep.equal([]);
+    expect(unresponsiveConnections).to.deep.equal([]);
     expect(openedCount).to.equal(peers.length);
   });
 
@@ -138,9 +138,9 @@
     await new Promise((resolve) => setTimeout(resolve, 30));
     const sentAtMs = performance.now();
     const answers = await Promise.all(peers.map((peer) => submit(peer, endpoint, undefined)));
-    const tookMs = performance.now() - sentAtMs;
+    const responseMs = performance.now() - sentAtMs;
     expect(answers.map((answer) => 'status' in answer && answer.status)).to.not.include(false);
-    expect(tookMs).to.be.lessThan(CALL_TARGET_MS);
+    expect(responseMs).to.be.lessThan(CALL_TARGET_MS);
     const ends = await Promise.all(uploads);
     expect(ends.every((answer) => 'body' in answer && answer.status === 200)).to.equal(true);
     expect(target.received.filter((text) => text.endsWith(body.toString()))).to.have.length(10);
--- a/test/proxy/silent-endpoint.test.ts
+++ b/test/proxy/silent-endpoint.test.ts
@@ -9,7 +9,7 @@
   TestMesh,
   type RawEndpoint,
 } from './rig.js';
-import { SilentLink } from './relay/silent-link.js';
+import { FaultyLink } from './relay/faulty-link.js';
 
 const IDLE_MS = 200;
 const DEADLINE_MS = 700;
@@ -17,11 +17,11 @@
 describe('kept connections to an endpoint that go silent', () => {
   const mesh = new TestMesh();
   let target: RawEndpoint;
-  let link: SilentLink;
+  let link: FaultyLink;
 
   beforeEach(async () => {
     target = await startRawEndpoint((socket) => socket.write(rawAnswer('ran')));
-    link = await SilentLink.start(target.port);
+    link = await FaultyLink.start(target.port);
   });
 
   afterEach(() => {
@@ -40,7 +40,7 @@
     const send = async (): Promise<number> => (await call(callerPort, { method: 'POST' })).status;
     const before = await Promise.all([send(), send(), send()]);
     expect(before).to.deep.equal([200, 200, 200]);
-    link.silence('both');
+    link.dropTraffic('both');
     expect(await send()).to.equal(504);
     const after = await Promise.all([send(), send(), send(), send()]);
     expect(after).to.deep.equal([200, 200, 200, 200]);
--- a/tools/experiment/received-call.ts
+++ b/tools/experiment/received-call.ts
@@ -9,7 +9,7 @@
 import { rankInTime } from '../../src/admission/work-rank.js';
 import type { CancelTimer, Scheduler } from '../../src/proxy/scheduler.js';
 import type { BodyCredit, CreditPool } from '../../src/proxy/relay/credit-pool.js';
-import { collectedCall, type OwnedEndpoints } from '../../src/proxy/relay/relayed-request.js';
+import { bufferedCall, type OwnedEndpoints } from '../../src/proxy/relay/relayed-request.js';
 
 /** What it needs of its node, and the way back to the sender. */
 export interface ReceivingNode {
@@ -57,7 +57,7 @@
       return;
     }
     this.refuseUnlessCollected();
-    this.credit.want(bodyBytes);
+    this.credit.addDemand(bodyBytes);
   }
 
   /** A part of the body has arrived. */
@@ -66,11 +66,11 @@
       return;
     }
     this.missingBytes -= bytes;
-    this.credit.arrived(bytes);
+    this.credit.recordArrival(bytes);
     if (this.missingBytes === 0) {
       this.credit.close();
       this.cancelCollecting?.();
-      this.submit(collectedCall(this.call, this.call.body, this.node.scheduler.now()));
+      this.submit(bufferedCall(this.call, this.call.body, this.node.scheduler.now()));
     }
   }
 
