--- a/src/proxy/relay/arrival-rate.ts
+++ b/src/proxy/relay/arrival-rate.ts
@@ -1,24 +1,23 @@
 /**
- * The pace at which bodies reach a node while more of them wait than may be under way: what its link, or
- * the senders, carry at most. Pure.
+ * Estimates the rate at which request bodies arrive at a node while more of them are waiting than the credit
+ * pool admits, that is, the maximum throughput of its link or of the senders. Performs no I/O.
  */
 
-/** Time over which bytes are counted before they count as a measurement, in milliseconds. */
+/** Minimum duration of one sample, in milliseconds. */
 const SAMPLE_MS = 100;
-/** Weight of a new measurement in the running mean. */
+/** Weight of a new sample in the moving average. */
 const SAMPLE_WEIGHT = 0.3;
-/** A pace that is not measured again counts as twice as fast after this time, in milliseconds. */
+/** Time after which the estimate doubles if no new sample is taken, in milliseconds. */
 const DOUBLING_MS = 2_000;
 
-/** The pace of one node. */
 export class ArrivalRate {
   private bytesPerMs: number | undefined;
   private measuredAtMs = 0;
   private sampleBytes = 0;
-  /** Since when bodies have been waiting without a break; undefined while none does. */
+  /** Start of the current sample; undefined while no body is waiting. */
   private sampleStartedAtMs: number | undefined;
 
-  /** Takes whether bodies wait; what arrives while none does says nothing of what would fit. */
+  /** Samples are taken only while bodies are waiting: otherwise the link is not fully used. */
   setSaturated(isSaturated: boolean, nowMs: number): void {
     if (!isSaturated) {
       this.sampleStartedAtMs = undefined;
@@ -45,7 +44,7 @@
     this.sampleBytes = 0;
   }
 
-  /** Time that so many bytes take, in milliseconds; 0 before a measurement. */
+  /** Estimated transfer time of `bytes`, in milliseconds; 0 before the first sample. */
   transferMs(bytes: number, nowMs: number): number {
     if (this.bytesPerMs === undefined || this.bytesPerMs <= 0) {
       return 0;
--- a/src/proxy/relay/connection-liveness.ts
+++ b/src/proxy/relay/connection-liveness.ts
@@ -1,67 +1,68 @@
 /**
- * Whether a connection that owes something is still alive. A connection may go silent for good, without
- * a reset, while new ones to the same place work. After some quiet its user asks for a sign of life; when
- * none comes in the time that its measured round trips let one expect, the connection is suspect, and a
- * new one is opened. Only once that one works is the old one taken for silent: a peer that is held up,
- * and a link that is full, delay both alike. Pure: times go in, steps come out.
+ * Detects whether a connection with pending work is still alive. A connection can become permanently
+ * unresponsive without a reset while new connections to the same address work. After an idle period a ping
+ * is sent; if it times out, based on the measured round-trip times, the connection is suspect and a new one is
+ * opened. The old one is considered silent only once the new one works: a stalled peer or a congested link
+ * delays both alike. Performs no I/O: it maps timestamps to steps.
  */
 
-/** Least time to wait for a sign of life, in milliseconds; most pauses of a process are shorter. */
+/** Minimum ping timeout, in milliseconds; most pauses of a process are shorter. */
 export const MIN_PING_TIMEOUT_MS = 150;
-/** Longest such time, in milliseconds: a full link has up to half a second of bytes waiting. */
+/** Maximum ping timeout, in milliseconds: a congested link has up to half a second of bytes queued. */
 export const MAX_PING_TIMEOUT_MS = 1_000;
-/** Time for a sign of life once a new connection works, in milliseconds: some turns of an event loop. */
+/** Time for any bytes to arrive once a new connection works, in milliseconds: a few event loop iterations. */
 export const CONFIRMATION_GRACE_MS = 50;
 /**
- * Time from the question to the loss, in milliseconds: nothing more is awaited then. TCP sends a lost packet
- * again after 0.2 s, 0.6 s, 1.4 s and 3.0 s; at a loss of 3% one of a million is lost four times. At 1 s,
- * answers that came 1.9 s late were thrown away, also of requests that may not be sent again.
+ * Time from the ping until the connection is lost and nothing more is expected on it, in milliseconds. TCP
+ * retransmits a lost packet after 0.2 s, 0.6 s, 1.4 s and 3.0 s; at 3% packet loss one in a million is lost
+ * four times. With 1 s, answers that arrived 1.9 s late were discarded, including those to requests that must
+ * not be repeated.
  */
 export const LOSS_TIMEOUT_MS = 3_100;
 /**
- * Time for an answer while other bytes arrive, in milliseconds: they may be answers to what was sent
- * before the way there went silent, or those that the answer has to wait behind.
+ * Ping timeout while other bytes arrive, in milliseconds: these may be answers to requests sent before the
+ * outbound direction failed, or bytes that the acknowledgement is queued behind.
  */
 export const ONE_WAY_PING_TIMEOUT_MS = 2_000;
-/** Time between two questions at least while bytes arrive, in milliseconds. */
+/** Minimum interval between pings while bytes arrive, in milliseconds. */
 const BUSY_PING_INTERVAL_MS = 1_000;
-/** Weights of a new round trip in the mean and in the deviation, as in RFC 6298. */
+/** Weights of a new round-trip time in the mean and in the deviation, as in RFC 6298. */
 const MEAN_WEIGHT = 1 / 8;
 const DEVIATION_WEIGHT = 1 / 4;
-/** Deviations beyond the mean that a round trip may take, as in RFC 6298. */
+/** Number of deviations above the mean in the ping timeout, as in RFC 6298. */
 const DEVIATIONS = 4;
-/** How late a look may be, in milliseconds, before it shows that this process itself stood still. */
+/** Delay of a check, in milliseconds, beyond which this process itself is assumed to have been paused. */
 const LATE_CHECK_MS = 50;
-/** How often a question is put off for such lateness: a process may be late at each look. */
+/** Maximum number of postponements of a timeout by late checks: a process may be late at every check. */
 const MAX_POSTPONEMENTS = 2;
 
 /**
- * - `none`: nothing is to be done.
- * - `ask`: ask for a sign of life.
- * - `suspect`: none came; nothing new is to be sent on the connection, and a new one is to be opened.
- * - `silent`: the new one works. What may be sent again is given up here.
- * - `lost`: nothing came for longer still. Nothing more is awaited. Where no new connection works, the peer may
- *   stand still: once one works, the connection is taken for silent and then for lost, unless anything comes.
+ * - `none`: no action is needed.
+ * - `ping`: send a ping.
+ * - `suspect`: the ping timed out; send no new requests on the connection and open a new one.
+ * - `silent`: the new connection works; requests that are safe to repeat can be retried elsewhere.
+ * - `lost`: nothing has arrived for longer still; expect no more answers. If no new connection works, the peer may
+ *   be paused: once one works, the connection becomes silent and then lost again, unless anything arrives.
  */
-export type LivenessStep = 'none' | 'ask' | 'suspect' | 'silent' | 'lost';
+export type LivenessStep = 'none' | 'ping' | 'suspect' | 'silent' | 'lost';
 
-/** What differs between the ends of a connection, in milliseconds. */
+/** Settings that differ between the two ends of a connection, in milliseconds. */
 export interface LivenessLimits {
-  /** Silence after which to ask. */
+  /** Idle time after which to send a ping. */
   readonly quietMs: number;
-  /** Time from the question to the loss where no new connection proves that the peer is alive. */
+  /** Time from the ping to the loss if no new connection confirms that the peer is alive. */
   readonly unconfirmedLossTimeoutMs: number;
 }
 
-/** A question under way. */
+/** A ping without an acknowledgement. */
 interface PendingPing {
   readonly sentAtMs: number;
   dueAtMs: number;
   postponements: number;
-  stage: 'asked' | 'suspect' | 'silent' | 'lost';
+  stage: 'pending' | 'suspect' | 'silent' | 'lost';
 }
 
-/** The pulse of one connection. */
+/** Liveness of one connection. */
 export class ConnectionLiveness {
   private pendingPing: PendingPing | undefined;
   private lastPingAtMs: number;
@@ -70,7 +71,7 @@
   private meanRoundTripMs: number;
   private roundTripDeviationMs: number;
 
-  /** `openingMs` is what the opening of the connection took, as its first round trip; 0 if not known. */
+  /** `connectMs` is the time to open the connection, used as its first round-trip time; 0 if unknown. */
   constructor(
     private readonly limits: LivenessLimits,
     connectMs: number,
@@ -82,7 +83,7 @@
     this.roundTripDeviationMs = connectMs / 2;
   }
 
-  /** How long a sign of life is waited for at present, in milliseconds. */
+  /** Current timeout of a ping, in milliseconds. */
   get pingTimeoutMs(): number {
     const expectedMs = this.meanRoundTripMs + DEVIATIONS * this.roundTripDeviationMs;
     return Math.min(MAX_PING_TIMEOUT_MS, Math.max(MIN_PING_TIMEOUT_MS, expectedMs));
@@ -93,22 +94,22 @@
     return nowMs - this.lastReceivedAtMs;
   }
 
-  /** Time until the next look that may matter; undefined while the regular ones are enough. */
+  /** Time until an extra check is due; undefined while the periodic checks suffice. */
   msToNextCheck(nowMs: number): number | undefined {
     const dueAtMs = this.pendingPing && this.nextStepDueAtMs(this.pendingPing);
     return dueAtMs !== undefined && dueAtMs < Infinity ? Math.max(0, dueAtMs - nowMs) : undefined;
   }
 
-  /** Anything arrived. It proves the way here, and that the peer lives, but not the way there. */
+  /** Bytes arrived. They show that the peer is alive and the inbound direction works, but not the outbound one. */
   recordReceived(nowMs: number): void {
     this.lastReceivedAtMs = nowMs;
-    if (this.pendingPing?.stage === 'asked') {
+    if (this.pendingPing?.stage === 'pending') {
       const dueAtMs = this.pendingPing.sentAtMs + ONE_WAY_PING_TIMEOUT_MS;
       this.pendingPing.dueAtMs = Math.max(this.pendingPing.dueAtMs, dueAtMs);
     }
   }
 
-  /** The question that was asked at `askedAtMs` is answered. */
+  /** The ping sent at `pingSentAtMs` was acknowledged. */
   recordAcknowledgement(pingSentAtMs: number, nowMs: number): void {
     this.lastReceivedAtMs = nowMs;
     if (this.pendingPing?.sentAtMs === pingSentAtMs) {
@@ -117,17 +118,17 @@
     }
   }
 
-  /** Another connection to, or from, the same process was opened. */
+  /** Another connection to or from the same process was opened. */
   confirmPeerAlive(nowMs: number): void {
     this.peerConfirmedAtMs = nowMs;
-    // Without this, what a connection carried that fell silent before its peer's restart was awaited to its deadline.
+    // Otherwise requests on a connection that became silent before its peer restarted would wait until their deadlines.
     if (this.pendingPing?.stage === 'lost') {
       this.pendingPing.stage = 'suspect';
       this.pendingPing.dueAtMs = nowMs + MAX_PING_TIMEOUT_MS;
     }
   }
 
-  /** To be called now and then while something is owed, and after {@link msToNextCheck}. */
+  /** Must be called periodically while work is pending, and after {@link msToNextCheck}. */
   check(isAwaiting: boolean, nowMs: number): LivenessStep {
     if (this.pendingPing !== undefined) {
       return this.checkPing(this.pendingPing, nowMs);
@@ -143,9 +144,9 @@
       sentAtMs,
       dueAtMs: nowMs + this.pingTimeoutMs,
       postponements: 0,
-      stage: 'asked',
+      stage: 'pending',
     };
-    return 'ask';
+    return 'ping';
   }
 
   private checkPing(ping: PendingPing, nowMs: number): LivenessStep {
@@ -161,15 +162,15 @@
     const isUnconfirmedLoss =
       !this.isPeerConfirmed(ping) && nowMs >= this.unconfirmedLossAtMs(ping);
     ping.stage = stageAfter(ping.stage, isUnconfirmedLoss);
-    return ping.stage === 'asked' ? 'none' : ping.stage;
+    return ping.stage === 'pending' ? 'none' : ping.stage;
   }
 
-  /** When the question's next step is due, as far as is known. */
+  /** When the next step is due; `Infinity` if that depends on a new connection. */
   private nextStepDueAtMs(ping: PendingPing): number {
     const { stage, dueAtMs, sentAtMs } = ping;
     const unconfirmedLossAtMs = this.unconfirmedLossAtMs(ping);
     switch (stage) {
-      case 'asked':
+      case 'pending':
         return dueAtMs;
       case 'suspect': {
         const silentAtMs = this.isPeerConfirmed(ping)
@@ -184,7 +185,7 @@
     }
   }
 
-  /** Whether a new connection has worked since the peer was heard or asked. */
+  /** Whether a new connection was opened since bytes last arrived or the ping was sent. */
   private isPeerConfirmed({ sentAtMs }: PendingPing): boolean {
     return this.peerConfirmedAtMs > Math.min(this.lastReceivedAtMs, sentAtMs);
   }
@@ -201,7 +202,7 @@
 }
 
 function stageAfter(stage: PendingPing['stage'], isUnconfirmedLoss: boolean): PendingPing['stage'] {
-  if (stage === 'asked') {
+  if (stage === 'pending') {
     return 'suspect';
   }
   return stage === 'suspect' && !isUnconfirmedLoss ? 'silent' : 'lost';
--- a/src/proxy/relay/credit-pool.ts
+++ b/src/proxy/relay/credit-pool.ts
@@ -1,7 +1,7 @@
 /**
- * Credit that a node gives to the senders of bodies. The bytes that all senders together have on the way
- * to the node are bounded, so that a link of few bytes a second does not fill with bodies: what is urgent
- * waits behind {@link POOL_BYTES} at most, whatever the number of bodies and of connections.
+ * Flow-control credit that a node grants to the senders of request bodies. The total number of body bytes in
+ * flight to the node is bounded, so that bodies do not fill a slow link: urgent frames queue behind at most
+ * {@link POOL_BYTES}, regardless of the number of bodies and connections.
  */
 import type { BodyArrival } from '../../admission/endpoint-admission.js';
 import type { CancelTimer, Scheduler } from '../scheduler.js';
@@ -9,69 +9,69 @@
 import { isBuffered } from './buffered-body.js';
 
 /**
- * Bytes of bodies on their way to a node at most. Keeps a link of 7 Mbit/s busy, and is carried by it in
- * 56 ms: a quarter of the target latency of the calls that share it. With windows for each body alone, ten
- * uploads of 60 KB held up ten calls for 742 ms on such a link (`upload-bodies.test.ts`).
+ * Maximum number of body bytes in flight to a node. Enough to keep a 7 Mbit/s link busy, which transfers it in
+ * 56 ms: a quarter of the target latency of the calls that share the link. With per-body windows only, ten
+ * uploads of 60 KB delayed ten calls by 742 ms on such a link (`upload-bodies.test.ts`).
  */
 export const POOL_BYTES = 48 * 1024;
-/** Bytes that are granted at once, so that a body of 60 KB takes four grants. */
+/** Maximum size of one grant; a body of 60 KB needs four grants. */
 const GRANT_BYTES = 16 * 1024;
 /**
- * A sender that leaves its credit unused no longer holds up the others: it has nothing to send, or nothing
- * is heard of it. That is so once others, who were given theirs later, have sent so many bytes, ...
+ * A sender is slow, and its unused credit no longer counts against the pool, once this many bytes of other
+ * bodies have arrived since its last grant or arrival: it has nothing to send or is unresponsive.
  */
 const OVERTAKEN_BYTES = 2 * POOL_BYTES;
-/** ... or once nothing has arrived of anybody for this long, in milliseconds, ... */
+/** Minimum time without arrivals from any sender after which senders with unused credit are slow, in milliseconds. */
 const STALL_MS = 150;
-/** ... and for so many times as long as the pool takes at the measured pace. */
+/** The stall timeout is at least this multiple of the estimated transfer time of the pool. */
 const STALL_POOL_MULTIPLE = 4;
-/** Weight of a new measurement in the running mean of the time that bodies take. */
+/** Weight of a new measurement in the moving average of the body transfer time. */
 const BODY_TIME_WEIGHT = 0.2;
 
-/** One body that a sender asks to send. */
+/** A body that a sender asks to send. */
 export interface CreditRequest {
-  /** Rank of its request; 0 goes first. */
+  /** Priority rank of the request; 0 is the most urgent. */
   readonly rank: number;
-  /** Length of the body in bytes; undefined when it is not known. */
+  /** Length of the body in bytes; undefined if unknown. */
   readonly lengthBytes: number | undefined;
-  /** Tells the sender that it may send so many bytes more. */
+  /** Allows the sender to send `bytes` more. */
   readonly grant: (bytes: number) => void;
 }
 
-/** The credit of one body. */
+/** Flow-control credit of one body. */
 export interface BodyCredit {
-  /** When the body will be here, at the measured pace; now before a measurement. */
+  /** Expected arrival of the body at the measured rate; the current time before the first measurement. */
   expectedArrival(): BodyArrival;
-  /** The receiver has room for so many bytes more. */
+  /** The receiver can accept `bytes` more. */
   addDemand(bytes: number): void;
   recordArrival(bytes: number): void;
-  /** The body is over, or given up. */
+  /** The body has ended or was abandoned. */
   close(): void;
 }
 
-/** The pool of one node. */
+/** Credit pool of one node. */
 export class CreditPool {
-  /** Bodies that are not over, by rank, and by age within a rank. */
+  /** Open bodies, ordered by rank, then by age; a long body moves to the end of its rank after each grant. */
   private readonly bodies: PooledCredit[] = [];
   private readonly rate = new ArrivalRate();
   private cancelStallTimer: CancelTimer | undefined;
   private meanMs: number | undefined;
-  /** Bytes that have arrived of all bodies. */
+  /** Total bytes received, over all bodies. */
   private arrivedBytes = 0;
   private lastArrivalAtMs = -Infinity;
 
-  /** `onBodyMs` gets the time that each whole body took, in milliseconds. */
+  /** `onBodyMs` receives the transfer time of each completed body, in milliseconds. */
   constructor(
     private readonly scheduler: Scheduler,
     private readonly onBodyMs?: (bodyMs: number) => void,
   ) {}
 
-  /** Mean time from the head of a request to the end of its body, in milliseconds; 0 before a body. */
+  /** Mean time from the request head to the end of its body, in milliseconds; 0 before the first body. */
   get meanBodyMs(): number {
     return this.meanMs ?? 0;
   }
 
-  /** A body is to be received; its sender gets credit once its receiver wants some. */
+  /** Registers a body; its sender is granted credit once the receiver adds demand. */
   open(request: CreditRequest): BodyCredit {
     const openedAtMs = this.scheduler.now();
     const body: PooledCredit = new PooledCredit(request, {
@@ -83,7 +83,7 @@
     return body;
   }
 
-  /** Puts a body behind those of its rank. */
+  /** Inserts a body after all others of the same or a more urgent rank. */
   private enqueue(body: PooledCredit): void {
     const insertAt = this.bodies.findIndex((other) => other.rank > body.rank);
     this.bodies.splice(insertAt < 0 ? this.bodies.length : insertAt, 0, body);
@@ -95,8 +95,8 @@
   }
 
   /**
-   * Bodies are carried in their order. Where nothing is ahead nothing is foreseen, so that a pace that was
-   * measured on a link in trouble does not turn bodies away once it is well.
+   * Estimates when the body arrives behind those ahead of it in the queue. With nothing ahead the expected
+   * arrival is now, so that a low rate measured on a congested link does not cause refusals after it recovers.
    */
   private expectedArrival(body: PooledCredit): BodyArrival {
     const nowMs = this.scheduler.now();
@@ -132,7 +132,7 @@
     this.grantInOrder(nowMs);
   }
 
-  /** A body that waits is not overtaken by those behind it; long ones take turns with the others. */
+  /** Grants credit in queue order; long bodies go to the end of their rank after each grant. */
   private grantInOrder(nowMs: number): void {
     let freeBytes = POOL_BYTES - this.outstandingBytes(nowMs);
     let next = this.nextWaiting();
@@ -153,7 +153,7 @@
     return this.bodies.find((body) => body.nextGrantBytes > 0);
   }
 
-  /** Bytes of the pool that are granted and not used, but for those of senders that leave them unused. */
+  /** Granted bytes that have not arrived, without those of slow senders. */
   private outstandingBytes(nowMs: number): number {
     const stalledSinceMs = nowMs - this.stallMs(nowMs);
     const isStalled = this.lastArrivalAtMs <= stalledSinceMs;
@@ -178,9 +178,9 @@
   }
 }
 
-/** What the credit of a body needs of its pool. */
+/** Callbacks from a body's credit to its pool. */
 interface PoolCallbacks {
-  /** The body arrived in full. */
+  /** The whole body was received. */
   readonly completed: () => void;
   readonly changed: (arrivedBytes: number) => void;
   readonly expectedArrival: () => BodyArrival;
@@ -188,17 +188,17 @@
 
 class PooledCredit implements BodyCredit {
   readonly rank: number;
-  /** Whether it takes turns with others of its rank; its length may be unknown. */
+  /** Whether the body is too long to be buffered, or of unknown length, and alternates with others of its rank. */
   readonly isLong: boolean;
   isClosed = false;
-  /** Whether its sender left credit unused; it then gets one grant at a time, apart from the pool. */
+  /** Whether the sender left credit unused; it then gets one grant at a time, which does not count against the pool. */
   isSlow = false;
-  /** Granted and not arrived yet. */
+  /** Bytes granted but not yet received. */
   inFlightBytes = 0;
-  /** When credit was last granted or used, and what had arrived of all bodies by then. */
+  /** When credit was last granted or used, and the total bytes received by the pool at that time. */
   private lastActivityAtMs = 0;
   private poolBytesAtLastActivity = 0;
-  /** Whether its sender has sent something; until then it gets one grant. */
+  /** Whether the sender has sent any bytes; until then it gets a single grant. */
   private hasReceivedBytes = false;
   private demandBytes = 0;
   private ungrantedBytes: number;
@@ -212,7 +212,7 @@
     this.isLong = !isBuffered(request.lengthBytes);
   }
 
-  /** What is still to come before its turn is over. */
+  /** Bytes still to be received before the next body's turn. */
   get remainingTurnBytes(): number {
     const ungrantedTurnBytes = this.isLong
       ? Math.min(this.demandBytes, this.ungrantedBytes, GRANT_BYTES)
@@ -228,14 +228,14 @@
     return Math.min(GRANT_BYTES, this.demandBytes, this.ungrantedBytes);
   }
 
-  /** Takes whether its sender leaves credit unused that it got before `stalledSinceMs`. */
+  /** Marks the sender as slow if it was overtaken or has had unused credit since `stalledSinceMs`. */
   detectSlowSender(poolArrivedBytes: number, stalledSinceMs: number): void {
     const isOvertaken = poolArrivedBytes - this.poolBytesAtLastActivity >= OVERTAKEN_BYTES;
     const isStalled = this.lastActivityAtMs <= stalledSinceMs;
     this.isSlow ||= this.inFlightBytes > 0 && (isOvertaken || isStalled);
   }
 
-  /** Bytes arrived; a sender that has used its credit before others overtook it is not slow any more. */
+  /** Bytes arrived; a sender that used its credit before being overtaken is no longer slow. */
   recordProgress(poolArrivedBytes: number, nowMs: number): void {
     const wasInTime = poolArrivedBytes - this.poolBytesAtLastActivity < OVERTAKEN_BYTES;
     this.isSlow &&= !(wasInTime && this.inFlightBytes === 0);
--- a/src/proxy/relay/frame-sink.ts
+++ b/src/proxy/relay/frame-sink.ts
@@ -1,4 +1,4 @@
-/** An answer's way to a peer. */
+/** Sends an answer to a peer as relay frames. */
 import { EventEmitter } from 'node:events';
 import type { AnswerSink } from '../answer-relay.js';
 import type { Answer } from '../call.js';
@@ -6,12 +6,12 @@
 import { frameLoadOf, UNKNOWN_LOAD } from './relay-load.js';
 import type { RequestLink } from './request-link.js';
 
-/** An answer of up to this length, in bytes, is sent as one frame where it is soon whole. */
+/** Maximum length of an answer that is sent in a single frame, in bytes. */
 const MAX_SINGLE_FRAME_ANSWER_BYTES = 16 * 1024;
-/** How long an answer's head waits for the rest at most, in milliseconds. */
+/** Maximum time for which the head is delayed to share a frame with the body, in milliseconds. */
 const MAX_BUFFERING_MS = 20;
 
-/** An answer's way out as frames: one where it is small and soon whole, else a head and parts. */
+/** Sends a single frame if the answer is small and completes in time; otherwise a head and body frames. */
 export class FrameSink extends EventEmitter implements AnswerSink {
   headersSent = false;
   private bufferedChunks: Buffer[] = [];
@@ -29,12 +29,12 @@
       link.send({ kind: 'body', streamId, bytes, isLast });
     });
     this.writer.on('drain', () => this.emit('drain'));
-    // What the endpoint still sends after the answer was given up goes nowhere.
+    // Writes by the endpoint after the answer was abandoned are discarded.
     this.writer.on('error', () => undefined);
     this.bufferingTimer = setTimeout(() => this.flushBuffered(), MAX_BUFFERING_MS);
   }
 
-  /** The head goes out with the first frame. */
+  /** Does nothing: the head is sent with the first frame. */
   writeHead(): void {
     return;
   }
@@ -65,7 +65,7 @@
     this.writer.addCredit(bytes);
   }
 
-  /** Calls `action` once all of the ended answer is sent, which may take the receiver's credit. */
+  /** Calls `action` once the ended answer is fully sent, which may have to wait for credit from the receiver. */
   whenSent(action: () => void): void {
     if (this.writer.writableEnded && !this.writer.writableFinished) {
       this.writer.once('finish', action);
@@ -79,13 +79,13 @@
     this.writer.destroy();
   }
 
-  /** An answer of unknown length is passed on as it comes. */
+  /** An answer of unknown length is streamed without buffering. */
   private get isBufferable(): boolean {
     const hasKnownLength = this.answer.contentLength !== undefined;
     return hasKnownLength && this.bufferedBytes <= MAX_SINGLE_FRAME_ANSWER_BYTES;
   }
 
-  /** Sends the head and what is held of the body; false when the receiver should be waited for. */
+  /** Sends the head and the buffered part of the body; false if the caller should wait for `drain`. */
   private flushBuffered(): boolean {
     this.sendHead(false, Buffer.alloc(0));
     const buffered = Buffer.concat(this.bufferedChunks.splice(0));
--- a/src/proxy/relay/relay-body.ts
+++ b/src/proxy/relay/relay-body.ts
@@ -1,24 +1,24 @@
 /**
- * Bodies that cross a relay connection in parts, each with a window of its own. An answer's window is
- * open from the start; a request's opens when its receiver gives credit.
+ * Bodies transferred in frames over a relay connection, each with its own flow-control window. The window of an
+ * answer is open from the start; that of a request opens when the receiver grants credit.
  */
 import { Readable, Writable } from 'node:stream';
 
-/** Bytes of one body that may be on their way or unread at the receiver. */
+/** Maximum number of bytes of one body that are in flight or unread at the receiver. */
 export const BODY_WINDOW_BYTES = 64 * 1024;
-/** Bytes of one frame of a body at most: others get their turn in between. */
+/** Maximum body bytes per frame, so that frames of other streams can be interleaved. */
 const MAX_FRAME_BYTES = 16 * 1024;
-/** Bytes that are read before the sender is told that there is room. */
+/** Number of bytes that are read before credit is returned to the sender. */
 const MIN_CREDIT_BYTES = 16 * 1024;
 
-/** Sends one part of a body. */
+/** Sends one part of a body as a frame. */
 export type SendPart = (bytes: Buffer, isLast: boolean) => void;
 
-/** The sending end. */
+/** Sending end of a body. */
 export class RelayBodyWriter extends Writable {
   private resumeWrite: (() => void) | undefined;
 
-  /** `windowBytes` may be sent before the receiver gives credit. */
+  /** `windowBytes` may be sent before the receiver grants credit. */
   constructor(
     private readonly sendPart: SendPart,
     private windowBytes = BODY_WINDOW_BYTES,
@@ -26,7 +26,7 @@
     super({ highWaterMark: MAX_FRAME_BYTES });
   }
 
-  /** The receiver has room for more. */
+  /** Extends the window by credit from the receiver. */
   addCredit(bytes: number): void {
     this.windowBytes += bytes;
     const resume = this.resumeWrite;
@@ -59,15 +59,15 @@
   }
 }
 
-/** The receiving end. */
+/** Receiving end of a body. */
 export class RelayBodyReader extends Readable {
   private uncreditedBytes = 0;
   private windowBytes = BODY_WINDOW_BYTES;
   private isEnded = false;
 
   /**
-   * `sendCredit` tells the sender that there is room for so many bytes more; with `isOpen` false, also for
-   * the first ones, once somebody reads.
+   * `sendCredit` grants the sender credit. With `isWindowOpen` false, the initial window is granted only once the
+   * body is being read.
    */
   constructor(
     private readonly sendCredit: (bytes: number) => void,
@@ -76,12 +76,12 @@
     super({ highWaterMark: BODY_WINDOW_BYTES });
   }
 
-  /** Whether the body arrived in full. */
+  /** Whether the whole body was received. */
   get complete(): boolean {
     return this.isEnded;
   }
 
-  /** Lets the sender have so many bytes more on their way, or unread here. */
+  /** Allows `bytes` more to be in flight or unread. */
   extendWindow(bytes: number): void {
     if (!this.isEnded && !this.destroyed) {
       this.windowBytes += bytes;
@@ -89,7 +89,7 @@
     }
   }
 
-  /** Takes a part that arrived. A sender that goes beyond its window breaks the body off. */
+  /** Handles a received part. The body is aborted if the sender exceeds its window. */
   receive(bytes: Buffer, isLast: boolean): void {
     this.uncreditedBytes += bytes.length;
     if (this.uncreditedBytes > this.windowBytes) {
@@ -105,7 +105,7 @@
     }
   }
 
-  /** Called whenever there is room here again. */
+  /** Called whenever the read buffer has capacity. */
   override _read(): void {
     if (!this.isWindowOpen) {
       this.isWindowOpen = true;
--- a/src/proxy/relay/relay-client.ts
+++ b/src/proxy/relay/relay-client.ts
@@ -1,4 +1,4 @@
-/** Sends attempts to the nodes beside endpoints, over one connection to each. */
+/** Sends attempts to the nodes that own the endpoints, over one connection to each node. */
 import type { Endpoint } from '../../model/resource.js';
 import type { Attempt, AttemptObserver, Call, EndpointPath } from '../call.js';
 import { UnreachableError } from '../request-error.js';
@@ -6,24 +6,25 @@
 
 export type { RelayAddress } from './relay-link.js';
 
-/** What the client needs of its node. */
+/** Dependencies of the client on its node. */
 export interface RelayClientOptions extends RelayLinkOptions {
   readonly addressOf: (endpoint: Endpoint) => RelayAddress | undefined;
 }
 
 /**
- * Connections in a row that a machine does not answer until it is dark: without power, or cut off. At a loss of
- * 3% of packets one opening in 17 is not answered in time, three in a row are one in 5,000.
+ * Number of consecutive unanswered connection attempts after which a machine is considered unreachable: powered
+ * off or cut off from the network. At 3% packet loss one attempt in 17 is not answered in time; three in a row
+ * are one in 5,000.
  */
 const MAX_UNANSWERED_CONNECTS = 3;
 
 /** Connections to the relay ports of peers. */
 export class RelayClient implements EndpointPath {
-  /** The connection that new attempts to an address take. */
+  /** The connection for new attempts, by address. */
   private readonly links = new Map<string, RelayLink>();
-  /** All connections, also those that get no new attempts any more. */
+  /** All open connections, including those that accept no new attempts. */
   private readonly openLinks = new Set<RelayLink>();
-  /** Connections in a row that machines did not answer, by address, while older ones to it are open. */
+  /** Consecutive unanswered connection attempts by address, counted while older connections to it are open. */
   private readonly unansweredConnects = new Map<string, number>();
 
   constructor(private readonly options: RelayClientOptions) {}
@@ -37,12 +38,12 @@
     return this.linkTo(address).submit(endpoint, call, observer);
   }
 
-  /** Looks whether connections on which something is awaited are silent; to be called now and then. */
+  /** Checks the liveness of connections with pending work; must be called periodically. */
   checkLiveness(): void {
     this.openLinks.forEach((link) => link.checkLiveness());
   }
 
-  /** New attempts get a new connection; what is awaited on the one there is goes on. */
+  /** New attempts use a new connection; attempts on the current one continue. */
   retireConnection(address: RelayAddress): void {
     this.links.delete(keyOf(address));
   }
@@ -79,7 +80,7 @@
     return link;
   }
 
-  /** A new connection works: older ones to the same address that say nothing are silent. */
+  /** Notifies older connections to the same address that a new one works. */
   private confirmPeerAlive(key: string, opened: RelayLink): void {
     this.unansweredConnects.delete(key);
     for (const link of this.linksTo(key)) {
@@ -89,7 +90,7 @@
     }
   }
 
-  /** What waits at a dark machine may be asked for again elsewhere; one that only stands still answers. */
+  /** Requests at an unreachable machine may be retried elsewhere; a machine that is only paused still answers. */
   private countUnanswered(key: string, isAnswered: boolean): void {
     const links = this.linksTo(key);
     if (isAnswered || links.length === 0) {
--- a/src/proxy/relay/relay-connection.ts
+++ b/src/proxy/relay/relay-connection.ts
@@ -1,7 +1,7 @@
 /**
- * One connection between two nodes, as frames. What is sent within one turn of the event loop goes out
- * in one write, and frames of bodies wait behind all others, so that a cancellation or a refusal does
- * not queue behind an upload.
+ * Framed connection between two nodes. Frames sent within one event loop iteration are combined into a single
+ * write, and body frames are queued behind all others, so that a cancellation or a refusal does not wait for an
+ * upload.
  */
 import type { Duplex } from 'node:stream';
 import { FrameError } from '../../wire/frame-error.js';
@@ -15,37 +15,37 @@
   type StreamFrame,
 } from './relay-frame.js';
 
-/** Bytes that the socket may hold before frames of bodies wait here. */
+/** Maximum number of bytes queued in the socket; further body frames are queued by the connection. */
 const MAX_SOCKET_BACKLOG_BYTES = 64 * 1024;
 /**
- * Time after which the peer is asked whether a frame has arrived, in milliseconds, where nothing was heard
- * since: the silence before it was sent says nothing of it.
+ * Time after the first unacknowledged frame until a ping checks its delivery, in milliseconds, if nothing has been
+ * received since. Idle time before the frame was sent does not count: it does not show whether the frame arrived.
  */
 const PING_DELAY_MS = 100;
 /**
- * Silence after which the peer is asked again, in milliseconds, once it has shown that all that was sent has
- * arrived: only what is still to come can be lost. On a connection with one request at a time, each question
- * costs both nodes a tenth of a request, and most endpoints take longer than the first one waits.
+ * Idle time until the next ping, in milliseconds, once the peer has acknowledged everything that was sent: only
+ * data from the peer can still be lost. On a connection with one request at a time, each ping costs both nodes a
+ * tenth of a request, and most endpoints take longer to answer than the delay of the first ping.
  */
 const DELIVERED_PING_DELAY_MS = 350;
 
-/** Gets what happens on a connection. */
+/** Receives the events of a connection. */
 export interface RelayConnectionObserver {
-  /** Frames that arrived together, in their order. */
+  /** Frames that arrived in one read, in order. */
   received(frames: readonly StreamFrame[]): void;
-  /** The connection is over; called once. */
+  /** The connection was closed; called once. */
   closed(): void;
 }
 
-/** Watches over a connection whose peer answers pings. */
+/** Liveness monitoring of a connection whose peer acknowledges pings. */
 export interface ConnectionWatch {
   readonly liveness: ConnectionLiveness;
   readonly scheduler: Scheduler;
-  /** Told of each step once; see {@link ./link-pulse.ts}. */
+  /** Called once for each step; see {@link ./connection-liveness.ts}. */
   readonly onLivenessStep: (step: 'suspect' | 'silent' | 'lost', quietMs: number) => void;
 }
 
-/** A connection. */
+/** Framed connection to a peer. */
 export class RelayConnection {
   private readonly reader = new FrameReader();
   private urgentFrames: Buffer[] = [];
@@ -54,14 +54,14 @@
   private isEnding = false;
   private isClosed = false;
   private cancelCheck: CancelTimer | undefined;
-  /** When the first frame was sent since anything was heard; undefined where none was. */
+  /** When the first frame was sent since bytes last arrived; undefined if none was. */
   private unackedSinceMs: number | undefined;
-  /** When the question was asked that went out behind all that was sent; undefined where none did. */
+  /** When a ping was sent behind all other frames; undefined if frames were sent or queued after it. */
   private deliveryPingAtMs: number | undefined;
-  /** Whether it was answered: all that was sent has arrived. */
+  /** Whether that ping was acknowledged, which shows that everything sent before it has arrived. */
   private isAllDelivered = false;
 
-  /** `head` is what was already read of the socket. */
+  /** `head` holds the bytes already read from the socket. */
   constructor(
     private readonly socket: Duplex,
     head: Buffer,
@@ -79,8 +79,8 @@
   }
 
   /**
-   * Sends a frame with the others of this turn of the event loop. False when a value does not fit its
-   * field: nothing is sent then.
+   * Queues a frame, which is written together with the others of this event loop iteration. Returns false, and
+   * sends nothing, if a value does not fit its field.
    */
   send(frame: RelayFrame): boolean {
     const bytes = tryEncode(frame);
@@ -99,7 +99,7 @@
     return true;
   }
 
-  /** To be called now and then; `isOwed` is whether anything is awaited on the connection. */
+  /** Must be called periodically; `isAwaiting` tells whether work is pending on the connection. */
   checkLiveness(isAwaiting: boolean): void {
     if (this.watch === undefined || this.isClosed) {
       return;
@@ -110,19 +110,19 @@
     if (step === 'none' && this.cancelCheck === undefined) {
       return;
     }
-    if (step === 'ask') {
+    if (step === 'ping') {
       const pingSentAtMs = Math.floor(nowMs);
       this.deliveryPingAtMs = this.bodyFrames.length === 0 ? pingSentAtMs : undefined;
       this.send({ kind: 'ping', pingSentAtMs });
       this.flush();
     }
     this.scheduleCheck(this.watch);
-    if (step !== 'ask' && step !== 'none') {
+    if (step !== 'ping' && step !== 'none') {
       onLivenessStep(step, liveness.idleMs(nowMs));
     }
   }
 
-  /** Whether anything arrived at `atMs` or later; true where nobody watches. */
+  /** Whether bytes arrived at `atMs` or later; always true without liveness monitoring. */
   hasReceivedSince(atMs: number): boolean {
     if (this.watch === undefined) {
       return true;
@@ -132,7 +132,7 @@
     return nowMs - liveness.idleMs(nowMs) >= atMs;
   }
 
-  /** Another connection to, or from, the same process was opened. */
+  /** Another connection to or from the same process was opened. */
   confirmPeerAlive(): void {
     if (this.watch !== undefined) {
       this.watch.liveness.confirmPeerAlive(this.watch.scheduler.now());
@@ -140,7 +140,7 @@
     }
   }
 
-  /** Sends what waits, then closes; takes as long as the peer needs to read it. */
+  /** Sends all queued frames, then closes the connection; this takes until the peer has read them. */
   end(): void {
     this.isEnding = true;
     this.flush();
@@ -163,7 +163,7 @@
     this.unackedSinceMs ??= this.watch?.scheduler.now();
   }
 
-  /** What arrived meanwhile is read before the look. */
+  /** The check runs after the bytes that arrived in the meantime are read. */
   private scheduleCheck({ liveness, scheduler }: ConnectionWatch): void {
     this.cancelCheck?.();
     const delayMs = this.isClosed ? undefined : liveness.msToNextCheck(scheduler.now());
@@ -197,7 +197,7 @@
     }
   }
 
-  /** Bodies that did not fit go on once the bytes before them are out, whether or not a drain is told. */
+  /** Continues with queued body frames once the previous write completes, whether or not `drain` is emitted. */
   private flushBodies(): void {
     if (this.bodyFrames.length > 0) {
       this.flush();
--- a/src/proxy/relay/relay-frame.ts
+++ b/src/proxy/relay/relay-frame.ts
@@ -1,7 +1,7 @@
 /**
- * Frames of the relay protocol: what the caller's node and the endpoint's node say to each other of
- * requests. Many requests share one connection; `streamId` tells them apart. A frame is a length of
- * three bytes, a byte for its kind, and the fields in the order of its layout.
+ * Frames of the relay protocol between the caller's node and the endpoint's node. Requests are multiplexed over
+ * one connection and identified by `streamId`. A frame consists of a three-byte length, a one-byte kind, and the
+ * fields in the order of its layout.
  */
 import { DecodeStream, EncodeStream, type FieldType } from 'restructure';
 import type { Verdict } from '../../model/verdict.js';
@@ -12,17 +12,17 @@
 
 /**
  * - `none`: the message has no body.
- * - `held`: the whole body is in the frame.
- * - `sized`: frames of the body follow, of a known length in all.
- * - `chunked`: frames of the body follow, of an unknown length.
+ * - `held`: the frame contains the whole body.
+ * - `sized`: body frames follow; their total length is known.
+ * - `chunked`: body frames follow; their total length is unknown.
  */
 export type BodyForm = 'none' | 'held' | 'sized' | 'chunked';
 
-/** Sends a request. Times left are in milliseconds, counted from `sentAtMs`. */
+/** Starts a request. Remaining times are in milliseconds from `sentAtMs`. */
 export interface RequestFrame {
   readonly kind: 'request';
   readonly streamId: number;
-  /** On the sender's monotonic clock; shows how long the frame was on its way. */
+  /** On the sender's monotonic clock; used to estimate the transit delay. */
   readonly sentAtMs: number;
   readonly requestId: string;
   readonly service: string;
@@ -34,9 +34,9 @@
   readonly retriesLeft: number;
   readonly priority: number;
   readonly workClass: string;
-  /** Left until the answer should be there; negative when that has passed. */
+  /** Time until the answer should arrive; negative if it has passed. */
   readonly targetLeftMs: number | undefined;
-  /** Left until the endpoint should have started. */
+  /** Time until the endpoint should have started on the request. */
   readonly startLeftMs: number | undefined;
   readonly bodyForm: BodyForm;
   /** Length of a `sized` body; 0 for other forms. */
@@ -44,31 +44,31 @@
   readonly bytes: Buffer;
 }
 
-/** What the endpoint's node says of the endpoint's load. */
+/** Load of the endpoint, reported by its node. */
 export interface FrameLoad {
   readonly inFlight: number;
   readonly slots: number;
   readonly isDraining: boolean;
   readonly isNodeStopping: boolean;
   readonly failedPercent: number;
-  /** Mean time of the request's class of work at the endpoint; undefined before a measurement. */
+  /** Mean service time of the request's work class at the endpoint; undefined before the first measurement. */
   readonly serviceMs: number | undefined;
 }
 
-/** The head of an answer, and its body where that is `held`. */
+/** Head of an answer, with its body if `isHeld`. */
 export interface AnswerFrame extends FrameLoad {
   readonly kind: 'answer';
   readonly streamId: number;
   readonly status: number;
   readonly headers: HeaderList;
-  /** Declared length of the body; undefined for a chunked one. */
+  /** Declared length of the body; undefined if it is chunked. */
   readonly contentLengthBytes: number | undefined;
-  /** Whether the whole body is in the frame; otherwise frames of it follow. */
+  /** Whether the frame contains the whole body; otherwise body frames follow. */
   readonly isHeld: boolean;
   readonly bytes: Buffer;
 }
 
-/** The attempt failed; nothing follows. */
+/** The attempt failed; no further frames follow. */
 export interface FailureFrame extends FrameLoad {
   readonly kind: 'failure';
   readonly streamId: number;
@@ -79,7 +79,7 @@
   readonly retryAfterMs: number | undefined;
 }
 
-/** A part of a request's or an answer's body. */
+/** Part of the body of a request or an answer. */
 export interface BodyFrame {
   readonly kind: 'body';
   readonly streamId: number;
@@ -87,40 +87,40 @@
   readonly bytes: Buffer;
 }
 
-/** The receiver of a body has room for more of it. */
+/** Grants the sender of a body flow-control credit. */
 export interface CreditFrame {
   readonly kind: 'credit';
   readonly streamId: number;
   readonly creditBytes: number;
 }
 
-/** The request is given up, or the rest of an answer will not come. */
+/** The request is cancelled, or the answer is aborted. */
 export interface CancelFrame {
   readonly kind: 'cancel';
   readonly streamId: number;
 }
 
-/** Asks for a sign of life, which is given at once. */
+/** Liveness check, acknowledged immediately. */
 export interface PingFrame {
   readonly kind: 'ping';
-  /** On the sender's monotonic clock, in whole milliseconds; given back in the answer. */
+  /** On the sender's monotonic clock, in whole milliseconds; returned in the acknowledgement. */
   readonly pingSentAtMs: number;
 }
 
-/** Answers a {@link PingFrame}. */
+/** Acknowledges a {@link PingFrame}. */
 export interface AcknowledgementFrame {
   readonly kind: 'acknowledgement';
   readonly pingSentAtMs: number;
 }
 
-/** A frame of one request. */
+/** A frame that belongs to one request. */
 export type StreamFrame =
   RequestFrame | AnswerFrame | FailureFrame | BodyFrame | CreditFrame | CancelFrame;
 
-/** One frame. */
+/** Any frame of the protocol. */
 export type RelayFrame = StreamFrame | PingFrame | AcknowledgementFrame;
 
-/** Kinds by their numbers on the wire; positions must never change. */
+/** Frame kinds, indexed by their number on the wire; positions must never change. */
 const KINDS = [
   'request',
   'answer',
@@ -132,10 +132,10 @@
   'acknowledgement',
 ] as const;
 const KIND_BYTES = 1;
-/** Room for a head of 64 KiB whose bytes each take two in UTF-8, and for what nodes add to it. */
+/** Allows for a head of 64 KiB whose bytes each take two in UTF-8, and for fields that nodes add to it. */
 const MAX_TEXT_BYTES = 256 * 1024;
 const MAX_REQUEST_ID_BYTES = 256;
-/** Header names and values hold no line ends, so one separates them. */
+/** Header names and values contain no line breaks. */
 const HEADER_SEPARATOR = '\n';
 
 const longText = text(MAX_TEXT_BYTES);
@@ -151,14 +151,14 @@
   },
 };
 
-/** A whole number that may be negative or absent. */
+/** An integer that may be negative or absent. */
 const optionalInteger: FieldType<number | undefined> = {
   size: (value) => varint.size(foldSign(value)),
   encode: (stream, value) => varint.encode(stream, foldSign(value)),
   decode: (stream) => unfoldSign(varint.decode(stream)),
 };
 
-/** 0 stands for none, odd numbers for those from 0 on, even ones for those below. */
+/** Maps absent to 0, non-negative integers to odd numbers and negative ones to even numbers. */
 function foldSign(value: number | undefined): number {
   if (value === undefined) {
     return 0;
@@ -174,7 +174,7 @@
   return folded % 2 === 1 ? (folded - 1) / 2 : -folded / 2;
 }
 
-/** All that is left of the frame. The bytes are copied: the frame's memory is used again. */
+/** The remaining bytes of the frame. They are copied because the frame's memory is reused. */
 const remainingBytes: FieldType<Buffer> = {
   size: (bytes) => bytes.length,
   encode: (stream, bytes) => {
@@ -244,7 +244,7 @@
   acknowledgement: new PlainStruct({ pingSentAtMs: varint }),
 };
 
-/** The bytes of a frame, its length among them. Throws {@link FrameError} for bad values. */
+/** Encodes a frame with its length prefix. Throws {@link FrameError} if a value does not fit its field. */
 export function encodeRelayFrame(frame: RelayFrame): Buffer {
   const layout = LAYOUTS[frame.kind] as FieldType<RelayFrame>;
   const bodyBytes = KIND_BYTES + layout.size(frame);
@@ -257,11 +257,11 @@
   return bytes;
 }
 
-/** Reads a frame's body, as {@link FrameReader} cuts it. Throws {@link FrameError}. */
+/** Decodes a frame body as returned by {@link FrameReader}. Throws {@link FrameError} if it is malformed. */
 export function decodeRelayFrame(body: Uint8Array): RelayFrame {
   const kind = KINDS[body[0] ?? KINDS.length];
   if (kind === undefined) {
-    throw new FrameError('unknown-type', `relay frame of kind ${body[0]}`);
+    throw new FrameError('unknown-type', `unknown relay frame kind ${body[0]}`);
   }
   const stream = new DecodeStream(body);
   stream.pos = KIND_BYTES;
@@ -273,7 +273,7 @@
     return layout.decode(stream);
   } catch (err) {
     if (err instanceof RangeError) {
-      throw new FrameError('malformed', 'the frame ends inside a field', { cause: err });
+      throw new FrameError('malformed', 'relay frame ends inside a field', { cause: err });
     }
     throw err;
   }
--- a/src/proxy/relay/relay-link.ts
+++ b/src/proxy/relay/relay-link.ts
@@ -1,4 +1,4 @@
-/** The connection of a node to one peer: opened by an HTTP upgrade, shared by the attempts there. */
+/** Connection of a node to one peer, opened by an HTTP upgrade and shared by all attempts at that peer. */
 import http from 'node:http';
 import type { Socket } from 'node:net';
 import type { Endpoint } from '../../model/resource.js';
@@ -10,65 +10,63 @@
 import { RELAY_PROTOCOL, RELAY_TOKEN_HEADER } from './relay-protocol.js';
 import { RelayedAttempt } from './relayed-attempt.js';
 
-/** A connection on which nothing is awaited is closed after this time, in milliseconds. */
+/** Time after which an idle connection is closed, in milliseconds. */
 const IDLE_CONNECTION_MS = 30_000;
 
 /**
- * A sender asks after a short quiet: a call that waits on a silent connection has some hundred
+ * Senders ping after a short idle time: a call that waits on an unresponsive connection has only a few hundred
  * milliseconds.
  */
 const SENDER_LIVENESS: LivenessLimits = { quietMs: 100, unconfirmedLossTimeoutMs: LOSS_TIMEOUT_MS };
-/** Time in which a connection that is of no use any more sends what it has, in milliseconds. */
+/** Time for a connection that is no longer used to send its queued frames, in milliseconds. */
 const CLOSE_TIMEOUT_MS = 1_000;
 
-/** Where a peer takes relayed requests. */
+/** Address at which a peer accepts relayed requests. */
 export interface RelayAddress {
   readonly address: string;
   readonly port: number;
 }
 
-/** What a link needs of its node. */
+/** Dependencies of a link on its node. */
 export interface RelayLinkOptions {
-  /** Time to open a connection. */
+  /** Timeout for opening a connection. */
   readonly connectTimeoutMs: number;
   readonly scheduler: Scheduler;
-  /** Told how long a connection took to open, or to fail, in milliseconds. */
+  /** Called with the time a connection took to open, or to fail, in milliseconds. */
   readonly onConnect?: (address: RelayAddress, connectMs: number, isOpen: boolean) => void;
-  /** Told that a connection is silent though a new one works, with what is awaited on it. */
+  /** Called when a connection is unresponsive although a new one works. */
   readonly onUnresponsive?: (address: RelayAddress, silence: UnresponsiveConnection) => void;
-  /** Whether the configuration in force names the endpoint; it always does when absent. */
+  /** Whether the current configuration lists the endpoint; if absent, every endpoint is listed. */
   readonly isListed?: (endpoint: Endpoint) => boolean;
-  /** A token that is valid now; undefined where the fleet has no key. */
+  /** Returns a currently valid token; undefined if the fleet has no key. */
   readonly token: () => string | undefined;
 }
 
-/** What is known of a silent connection. */
+/** State of an unresponsive connection. */
 export interface UnresponsiveConnection {
-  /** Requests that were under way on it. */
+  /** Number of requests in flight on it. */
   readonly awaitedCount: number;
-  /** Time since anything arrived on it, in milliseconds. */
+  /** Time since bytes last arrived on it, in milliseconds. */
   readonly quietMs: number;
 }
 
-/** Told of the end of a link. */
+/** Receives the state changes of a link. */
 export interface RelayLinkObserver {
-  /** It takes no new attempts. */
+  /** The link accepts no new attempts. */
   readonly retired: () => void;
-  /** It takes no new attempts; another connection is to show whether the peer is alive. */
+  /** The link accepts no new attempts; a new connection has to show whether the peer is alive. */
   readonly suspect: () => void;
-  /** It is open. */
   readonly opened: () => void;
-  /** It did not open. A machine that is there answers in time, if only that nothing listens. */
+  /** The connection could not be opened. A reachable machine answers in time, even if only by refusing it. */
   readonly openFailed: (isAnswered: boolean) => void;
   readonly closed: () => void;
 }
 
-/** Tells addresses apart. */
 export function keyOf({ address, port }: RelayAddress): string {
   return `${address}:${port}`;
 }
 
-/** The connection, and the attempts on it. */
+/** A connection and its attempts. */
 export class RelayLink {
   readonly key: string;
   private readonly streams = new Map<number, RelayedAttempt>();
@@ -77,14 +75,13 @@
   private readonly connectStartedAtMs: number;
   private lastStreamId = 0;
   private isClosed = false;
-  /** Whether the peer's machine has answered, be it that nothing listens. */
+  /** Whether the peer's machine has answered, even if only by refusing the connection. */
   private hasMachineAnswered = false;
   private isSuspect = false;
-  /** Whether it says nothing while a new connection works. */
+  /** Whether nothing arrives on the connection while a new one works. */
   private isUnresponsive = false;
-  /** Since when nothing at all has been heard of the peer for long; undefined where that is not so. */
+  /** When the connection was lost without a working new one; undefined if it was not. */
   private peerLostAtMs: number | undefined;
-  /** When the last request was sent. */
   private lastSentAtMs = -Infinity;
 
   constructor(
@@ -100,7 +97,7 @@
       agent: false,
       headers: this.upgradeHeaders(),
     });
-    // After a pause of the process the connection may be open, and the timer come before that is read.
+    // After a pause of the process the timer may fire before the socket event of an open connection is read.
     const timer = setTimeout(
       () => setImmediate(() => this.endUnopened()),
       options.connectTimeoutMs,
@@ -148,7 +145,7 @@
     return attempt;
   }
 
-  /** To be called now and then. */
+  /** Must be called periodically. */
   checkLiveness(): void {
     this.connection?.checkLiveness(this.streams.size > 0 || this.isUnansweredSinceSend());
     if (this.isSuspect && this.streams.size > 0) {
@@ -162,7 +159,7 @@
     this.connection?.confirmPeerAlive();
   }
 
-  /** The peer's machine answers nothing. */
+  /** The peer's machine does not answer connection attempts. */
   peerIsUnreachable(): void {
     if (this.isSuspect) {
       [...this.streams.values()].forEach((attempt) => attempt.peerIsGone());
@@ -220,15 +217,15 @@
     attempt.send();
   }
 
-  /** A request whose caller left is owed nothing, but no word since then may mean that it was lost. */
+  /** An aborted request awaits no answer, but receiving nothing since it was sent may mean that it was lost. */
   private isUnansweredSinceSend(): boolean {
     return this.connection?.hasReceivedSince(this.lastSentAtMs) === false;
   }
 
   /**
-   * A connection that says nothing may only be slow: its attempts are in doubt, and go on. None is answered
-   * any more once it has said nothing for long while a new one works; without a new one the peer's machine
-   * may only stand still.
+   * An unresponsive connection may only be slow, so its attempts become suspect but continue. If it stays
+   * unresponsive until it is lost although a new connection works, it is closed; without a working new connection
+   * the peer's machine may only be paused.
    */
   private handleLivenessStep(step: 'suspect' | 'silent' | 'lost', quietMs: number): void {
     const attempts = [...this.streams.values()];
@@ -247,7 +244,7 @@
     }
   }
 
-  /** Ends attempts at endpoints that went with the peer; one that stands still keeps its entries for longer. */
+  /** Ends attempts at endpoints that were delisted with the peer; a paused peer stays listed for longer. */
   private endDelistedAttempts(): void {
     if (this.peerLostAtMs === undefined) {
       return;
@@ -263,7 +260,7 @@
     }
   }
 
-  /** A suspect connection gets no new attempts: it is of no use once its last one is over. */
+  /** A suspect connection accepts no new attempts, so it is closed after its last one. */
   private handleStreamEnd(streamId: number): void {
     this.streams.delete(streamId);
     if (this.isSuspect && this.streams.size === 0) {
--- a/src/proxy/relay/relay-load.ts
+++ b/src/proxy/relay/relay-load.ts
@@ -1,12 +1,11 @@
-/** Load of an endpoint as frames carry it. */
+/** Conversion between load reports and the load fields of frames. */
 import type { LoadReport } from '../call.js';
 import type { FrameLoad } from './relay-frame.js';
 
 const PERCENT = 100;
-/** What is said of the load where nothing is known. */
+/** Reported if the load is unknown. */
 export const UNKNOWN_LOAD: LoadReport = { inFlight: 0, slots: 0, draining: false };
 
-/** What frames say of `load`. */
 export function frameLoadOf(load: LoadReport, isNodeStopping: boolean): FrameLoad {
   return {
     inFlight: Math.round(load.inFlight),
@@ -18,7 +17,6 @@
   };
 }
 
-/** What a frame says of the load. */
 export function loadOf(frame: FrameLoad): LoadReport {
   const { inFlight, slots, isDraining: draining, isNodeStopping, serviceMs } = frame;
   const failureShare = Math.min(1, frame.failedPercent / PERCENT);
--- a/src/proxy/relay/relay-server.ts
+++ b/src/proxy/relay/relay-server.ts
@@ -1,4 +1,4 @@
-/** Takes attempts from other nodes for the endpoints that this node owns. */
+/** Accepts attempts from other nodes for the endpoints that this node owns. */
 import http from 'node:http';
 import type { Duplex } from 'node:stream';
 import type { CounterSink } from '../../control/control-event.js';
@@ -19,14 +19,14 @@
 import { RelayedRequest, type OwnedEndpoints } from './relayed-request.js';
 import { TravelTime } from './travel-time.js';
 
-/** Time after a pause in which cancellations that came meanwhile are read, in milliseconds. */
+/** Time after a pause of the process for reading cancellations that arrived during it, in milliseconds. */
 const RESUME_SETTLE_MS = 10;
-/** Time in which connections with nothing left to send are closed at a planned stop, in milliseconds. */
+/** Time for connections with nothing left to send to close during a planned stop, in milliseconds. */
 export const RELAY_CLOSE_TIMEOUT_MS = 200;
 /**
- * A receiver asks later than senders do, whose questions are signs of life, and lets go later than they:
- * nobody awaits what it gives up. Without a new connection of the peer it waits for longer, since the
- * peer may only stand still.
+ * A receiver pings later than senders, whose own pings show that they are alive, and abandons requests later than
+ * senders do, so that no one is still waiting for them. Without a new connection from the peer the timeout is
+ * longer, because the peer may only be paused.
  */
 const RECEIVER_LIVENESS: LivenessLimits = { quietMs: 500, unconfirmedLossTimeoutMs: 5_000 };
 const FORBIDDEN = 'HTTP/1.1 403 Forbidden\r\nConnection: close\r\nContent-Length: 0\r\n\r\n';
@@ -38,40 +38,40 @@
   'HTTP/1.1 101 Switching Protocols\r\n' +
   `Connection: Upgrade\r\nUpgrade: ${RELAY_PROTOCOL}\r\n\r\n`;
 
-/** What the server needs of its node. */
+/** Dependencies of the server on its node. */
 export interface RelayServerOptions {
   readonly machineId: string;
   readonly limits: ProxyLimits;
   readonly counters: CounterSink;
   readonly scheduler: Scheduler;
-  /** The machine identity that a token proves, or undefined. */
+  /** Returns the machine identity that a token proves; undefined if the token is invalid. */
   readonly verifyToken: (token: string | undefined) => string | undefined;
   readonly snapshot: () => Snapshot | undefined;
   readonly endpoints: OwnedEndpoints;
-  /** Whether the process was paused until just now; see {@link ../pause-detector.ts}. */
+  /** Whether the process has just resumed from a pause; see {@link ../pause-detector.ts}. */
   readonly hasJustWoken: () => boolean;
-  /** Calls its action once the process has read what has arrived. */
+  /** Calls the action once the process has read all bytes that have arrived. */
   readonly afterRead: (action: () => void) => void;
-  /** Whether peers are told that the node is about to stop. */
+  /** Whether answers tell peers that the node is about to stop. */
   readonly isStopping: () => boolean;
-  /** Whether new requests are refused, since the node is about to stop. */
+  /** Whether new requests are refused because the node is about to stop. */
   readonly refusesNewWork: () => boolean;
-  /** The deadline of a new request that has this one, given that the node may be about to stop. */
+  /** Limits the deadline of a new request if the node is about to stop. */
   readonly deadlineWithin: (deadlineAtMs: number) => number;
   readonly requestLog: RequestLog;
-  /** Counts a request until the returned function is called. */
+  /** Counts a request as in flight until the returned function is called. */
   readonly trackRequest: () => () => void;
-  /** Told that a peer's connection was given up, since nothing arrived on it. */
+  /** Called when a peer's connection is closed because it is unresponsive. */
   readonly onUnresponsive?: (from: string, silence: UnresponsiveConnection) => void;
-  /** Gets how much longer than usual each request was on its way, in milliseconds. */
+  /** Called with the excess transit delay of each request, in milliseconds. */
   readonly onTravelLostMs?: ((ms: number) => void) | undefined;
-  /** Gets the time from the head of each request to the end of its body, in milliseconds. */
+  /** Called with the time from the head of each request to the end of its body, in milliseconds. */
   readonly onBodyMs?: ((ms: number) => void) | undefined;
 }
 
-/** The server and its connections. */
+/** Relay server with its connections. */
 export class RelayServer {
-  /** Its owner listens on it. */
+  /** The owner of the relay server calls `listen` on it. */
   readonly http: http.Server;
   private readonly peers = new Set<RelayPeer>();
   private readonly credits: CreditPool;
@@ -83,7 +83,7 @@
       response.end();
     });
     this.http.on('upgrade', (request, socket, head) => {
-      // Node leaves the socket to its new owner: a reset would end the process.
+      // After an upgrade Node.js no longer handles socket errors: a reset would end the process.
       socket.on('error', () => socket.destroy());
       if (request.headers.upgrade !== RELAY_PROTOCOL) {
         socket.end(UPGRADE_REQUIRED);
@@ -96,24 +96,24 @@
     this.http.on('clientError', (_error, socket) => socket.destroy());
   }
 
-  /** Tells peers the final failure of every request that has no answer yet; gives their number. */
+  /** Sends peers a final failure for each request that has no answer yet; returns the number of such requests. */
   giveUp(): number {
     return [...this.peers].reduce((count, peer) => count + peer.giveUp(), 0);
   }
 
-  /** Requests that were read and are not looked at yet: a planned stop waits for them too. */
+  /** Number of requests that were read but not started; a planned stop waits for them too. */
   get unstartedCount(): number {
     return [...this.peers].reduce((count, peer) => count + peer.unstartedCount, 0);
   }
 
-  /** Looks whether peers whose requests are under way are silent; to be called now and then. */
+  /** Checks the liveness of peers with requests in flight; must be called periodically. */
   checkLiveness(): void {
     this.peers.forEach((peer) => peer.checkLiveness());
   }
 
   /**
-   * Sends what waits and closes all connections. Resolves when they are closed, or after a while: answers that a
-   * slow connection still has to deliver are waited for as long as it may be slow.
+   * Sends all queued frames and closes all connections. Resolves when they are closed, or after a timeout that is
+   * extended while a slow connection may still have answers to deliver.
    */
   close(): Promise<void> {
     return new Promise((resolve) => {
@@ -137,13 +137,13 @@
     });
   }
 
-  /** Whether answers to a peer may still be on their way: its process ends with what the system has not sent. */
+  /** Whether answers to a peer may still be in flight; data not yet sent would be lost when this process ends. */
   private get hasRecentAnswers(): boolean {
     const sinceMs = this.options.scheduler.now() - LOSS_TIMEOUT_MS;
     return [...this.peers].some(({ lastAnswerSentAtMs }) => lastAnswerSentAtMs > sinceMs);
   }
 
-  /** Cuts all connections. */
+  /** Closes all connections immediately. */
   destroy(): void {
     this.peers.forEach((peer) => peer.destroy());
   }
@@ -167,24 +167,24 @@
   }
 }
 
-/** A connection that a peer has opened. */
+/** Upgrade of a connection opened by a peer. */
 interface PeerConnectionRequest {
   readonly socket: Duplex;
   readonly head: Buffer;
-  /** IP number of the peer's machine. */
+  /** IP address of the peer's machine. */
   readonly remoteAddress: string | undefined;
 }
 
-/** The connection of one peer, and its requests. */
+/** Connection of one peer with its requests. */
 class RelayPeer {
   readonly remoteAddress: string | undefined;
   private readonly requests = new Map<number, RelayedRequest>();
   private readonly connection: RelayConnection;
   private readonly travelTime = new TravelTime();
-  /** Requests that are not looked at yet, by stream. */
+  /** Requests that were read but not started, by stream. */
   private readonly pendingRequests = new Map<number, RequestFrame>();
   private onClosed: () => void = () => undefined;
-  /** When a frame of an answer was sent last. */
+  /** When the last frame was sent to the peer in response to a request. */
   lastAnswerSentAtMs = -Infinity;
 
   constructor(
@@ -213,7 +213,7 @@
     this.connection.checkLiveness(this.activeCount > 0);
   }
 
-  /** The peer opened another connection. */
+  /** The peer has opened another connection. */
   confirmPeerAlive(): void {
     this.connection.confirmPeerAlive();
   }
@@ -226,7 +226,7 @@
     return this.requests.size + this.pendingRequests.size;
   }
 
-  /** The slots and the credit of requests whose sender is gone are needed by others. */
+  /** Closing a lost connection frees the slots and the credit of its requests. */
   private handleLivenessStep(step: 'suspect' | 'silent' | 'lost', quietMs: number): void {
     if (step === 'lost') {
       this.options.onUnresponsive?.(this.remoteAddress ?? this.sender, {
@@ -252,8 +252,8 @@
   }
 
   /**
-   * Requests are looked at once all that came with them is read: one that was cancelled meanwhile is
-   * not run. After a pause of the process, more may be waiting in the system.
+   * Starts requests only after all frames received with them are read, so that a request that was cancelled in
+   * the meantime is not run. After a pause of the process, more frames may be waiting in the socket buffers.
    */
   private receive(frames: readonly StreamFrame[]): void {
     frames.forEach((frame) => this.handleFrame(frame));
@@ -315,7 +315,7 @@
     }
     const endpoint = this.ownedEndpoint(frame);
     if (endpoint === undefined) {
-      request.failed(new UnknownEndpointError('the endpoint is not of this node'));
+      request.failed(new UnknownEndpointError('this node does not own the endpoint'));
       return;
     }
     request.start(options.endpoints, endpoint, this.callOf(frame, request));
--- a/src/proxy/relay/relay-token.ts
+++ b/src/proxy/relay/relay-token.ts
@@ -1,18 +1,18 @@
 /**
- * Proof, on each relayed request, that the sender holds the fleet key: a keyed hash over the
- * sender's machine identity and an expiry. Wall clocks of nodes may differ by up to the lifetime.
+ * Token that proves, when a relay connection is opened, that the sender holds the fleet key: an HMAC over the
+ * sender's machine identity and an expiry time. Wall clocks of nodes may differ by up to the token lifetime.
  */
 import { cryptography } from '../../model/cryptography.js';
 
-/** How long a token is valid, in milliseconds; far above the differences between clocks. */
+/** Lifetime of a token, in milliseconds; far longer than the clock skew between nodes. */
 export const TOKEN_LIFETIME_MS = 300_000;
-/** A token is made anew when less than this is left of it, in milliseconds. */
+/** A token is renewed when its remaining lifetime is shorter than this, in milliseconds. */
 const RENEW_BEFORE_MS = 150_000;
-/** Keeps this use of the fleet key apart from others. */
+/** Domain separator from other uses of the fleet key. */
 const PURPOSE = 'ferryspool relay v1';
 const MAX_TOKEN_LENGTH = 512;
 
-/** Makes the tokens of one node; reuses a token for a part of its lifetime. */
+/** Issues the tokens of one node; reuses a token for part of its lifetime. */
 export class RelayTokenIssuer {
   private token = '';
   private expiresAtMs = 0;
@@ -22,7 +22,7 @@
     private readonly machineId: string,
   ) {}
 
-  /** A valid token; `wallClockMs` is milliseconds since 1970. */
+  /** Returns a valid token; `wallClockMs` is the Unix time in milliseconds. */
   current(wallClockMs: number): string {
     if (this.expiresAtMs - wallClockMs < RENEW_BEFORE_MS) {
       this.expiresAtMs = Math.floor(wallClockMs) + TOKEN_LIFETIME_MS;
@@ -33,7 +33,7 @@
   }
 }
 
-/** The machine identity that a valid token proves; undefined for any other text. */
+/** Returns the machine identity that a valid token proves; undefined for an invalid one. */
 export function verifyRelayToken(
   fleetKey: Uint8Array,
   token: string | undefined,
--- a/src/proxy/relay/relayed-attempt.ts
+++ b/src/proxy/relay/relayed-attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt of this node at the node of an endpoint. */
+/** One attempt that this node sends to the node of an endpoint. */
 import type { Endpoint } from '../../model/resource.js';
 import type { Answer, AnswerBody, Attempt, AttemptObserver, Call } from '../call.js';
 import { HeldBody, type RequestBody } from '../request-body.js';
@@ -18,25 +18,25 @@
 import { loadOf } from './relay-load.js';
 
 const HEAD_TOO_LARGE_STATUS = 431;
-/** A body of up to this length, in bytes, goes with the head of its request: some three packets. */
+/** Maximum length of a body sent in the request frame, in bytes: about three packets. */
 const MAX_INLINE_BODY_BYTES = 4 * 1024;
 
-/** Bytes beyond the usual window that a peer may send at once which is about to stop. */
+/** Maximum extension of the window of a peer that is about to stop, in bytes. */
 const MAX_STOPPING_WINDOW_BYTES = 512 * 1024;
 
-/** What an attempt needs of its link. */
+/** Interface of an attempt to its link. */
 export interface AttemptLink {
-  /** False when the frame can't be built, or there is no connection. */
+  /** Returns false if the frame cannot be encoded or there is no connection. */
   readonly send: (frame: StreamFrame) => boolean;
-  /** Nothing more is awaited. */
+  /** The attempt has ended and expects no more frames. */
   readonly ended: () => void;
 }
 
-/** The attempt. */
+/** An attempt sent over a relay connection. */
 export class RelayedAttempt implements Attempt {
   private isSent = false;
   private isEnded = false;
-  /** Whether everything of the request has gone out, its body included. */
+  /** Whether the request has been sent completely, including its body. */
   private isFullySent = false;
   private writer: RelayBodyWriter | undefined;
   private reader: RelayBodyReader | undefined;
@@ -62,7 +62,7 @@
     return !this.mayHaveReachedEndpoint;
   }
 
-  /** Sends the request; the connection is open. */
+  /** Sends the request; the connection must be open. */
   send(): void {
     const { call, endpoint } = this;
     const nowMs = this.scheduler.now();
@@ -110,7 +110,7 @@
     }
   }
 
-  /** Nothing has arrived on the connection for `quietMs`, while a new one works. */
+  /** Nothing has arrived on the connection for `quietMs` although a new one works. */
   connectionUnresponsive(quietMs: number): void {
     if (this.reader === undefined && !this.isEnded) {
       this.observer.suspected?.({ silent: 'connection', quietMs });
@@ -118,9 +118,9 @@
   }
 
   /**
-   * The peer's machine is dark, or nothing is heard of it and its endpoint is not listed any more. What may run
-   * again is ended, for its caller to ask again, and so is what has provably not reached the endpoint; the rest
-   * waits until its deadline.
+   * The peer's machine is unreachable, or the connection is lost and the endpoint is no longer listed. Ends the
+   * attempt if the request is repeatable or has provably not reached the endpoint, so that its caller can retry;
+   * otherwise the attempt waits until its deadline.
    */
   peerIsGone(): void {
     const isSafe = this.call.isRepeatable === true || !this.mayHaveReachedEndpoint;
@@ -143,12 +143,12 @@
     );
   }
 
-  /** The endpoint's node hands a body that it collects on only once it has all of it. */
+  /** The endpoint's node forwards a request whose body it buffers only once the body is complete. */
   private get mayHaveReachedEndpoint(): boolean {
     return this.isSent && (this.isFullySent || !isBuffered(this.call.body.length));
   }
 
-  /** The first credit says that the endpoint's node has not refused the request by its head. */
+  /** The first credit means that the endpoint's node has not refused the request based on its head. */
   private handleCredit(creditBytes: number): void {
     if (!this.isEnded) {
       this.writer ??= this.streamBody();
@@ -156,7 +156,7 @@
     }
   }
 
-  /** A sender that breaks off leaves a request that can't be completed. */
+  /** If the body is aborted the request cannot be completed and is cancelled. */
   private streamBody(): RelayBodyWriter {
     const writer = new RelayBodyWriter((bytes, isLast) => {
       this.isFullySent ||= isLast;
@@ -224,7 +224,7 @@
     this.observer.failed(error, loadOf(frame));
   }
 
-  /** The rest of the answer will not come. */
+  /** The answer will not be completed. */
   private abortAnswer(): void {
     if (this.reader === undefined) {
       this.fail(new MalformedAnswerError('the peer gave the request up'));
@@ -254,7 +254,7 @@
   }
 }
 
-/** The body, where it goes with the head; undefined where it waits for credit. */
+/** Body that is sent in the request frame; undefined if it needs credit or there is none. */
 function inlineBodyOf(body: RequestBody): Buffer | undefined {
   const isInline = body instanceof HeldBody && body.length <= MAX_INLINE_BODY_BYTES;
   return isInline ? body.bytes : undefined;
--- a/src/proxy/relay/relayed-request.ts
+++ b/src/proxy/relay/relayed-request.ts
@@ -1,4 +1,4 @@
-/** One request of a peer at the node that owns the endpoint. */
+/** One request from a peer, at the node that owns the endpoint. */
 import type { BodyArrival } from '../../admission/endpoint-admission.js';
 import type { Endpoint } from '../../model/resource.js';
 import { passAnswer } from '../answer-relay.js';
@@ -18,19 +18,19 @@
 import { frameLoadOf, UNKNOWN_LOAD } from './relay-load.js';
 import type { RequestLink } from './request-link.js';
 
-/** How long a collected request waits for a slot at least, in milliseconds: the work of one upload. */
+/** Minimum time a buffered request waits for a slot, in milliseconds: the service time of one upload. */
 const MIN_SLOT_WAIT_MS = 250;
 
-/** The endpoints of this node. */
+/** Endpoints owned by this node. */
 export interface OwnedEndpoints extends EndpointPath {
-  /** Keeps a place for a request whose body is to come; the error when there is none. */
+  /** Reserves capacity for a request whose body is yet to arrive; returns an error if there is none. */
   reserve(endpoint: Endpoint, call: Call, arrival: BodyArrival): RequestError | undefined;
-  /** Gives a place up that was kept for a request which is not submitted. */
+  /** Releases the reservation of a request that is not submitted. */
   unreserve(endpoint: Endpoint, call: Call): void;
   load(endpoint: Endpoint, workClass: string): LoadReport;
 }
 
-/** The request. */
+/** A request received over a relay connection. */
 export class RelayedRequest implements AttemptObserver {
   readonly body: RequestBody;
   private readonly reader: RelayBodyReader | undefined;
@@ -62,8 +62,8 @@
   }
 
   /**
-   * Gives the request to its endpoint. One whose body is collected is refused by its head where that is
-   * possible, and takes a slot only once its body is here.
+   * Submits the request to its endpoint. A request with a buffered body is refused based on its head if possible,
+   * and takes a slot only once its body is complete.
    */
   start(endpoints: OwnedEndpoints, endpoint: Endpoint, call: Call): void {
     const { reader, credit } = this;
@@ -93,7 +93,7 @@
     }
   }
 
-  /** The refusal has to reach the caller's node before the deadline, which tells that it has not run. */
+  /** The refusal, which tells that the request has not run, must reach the caller's node before the deadline. */
   private scheduleBodyTimeout({ deadlineAtMs }: Call, load: () => LoadReport): void {
     const remainingMs = deadlineAtMs - this.scheduler.now();
     this.cancelBodyTimeout = this.scheduler.schedule(
@@ -104,7 +104,7 @@
     );
   }
 
-  /** Takes a frame of the sender. */
+  /** Handles a frame from the sender. */
   handleFrame(frame: StreamFrame): void {
     switch (frame.kind) {
       case 'body':
@@ -119,7 +119,7 @@
     }
   }
 
-  /** Nobody waits for the answer any more; told in the log where the endpoint may be at work. */
+  /** The answer is no longer awaited; logged if the endpoint may already be running the request. */
   abandon(cause: AbandonCause, log: RequestLog): void {
     if (!this.isEnded) {
       if (this.attempt?.isUnsent() === false) {
@@ -136,7 +136,10 @@
     }
   }
 
-  /** The node stops: the peer is told what is known. False when the answer has begun to go out. */
+  /**
+   * Reports a failure to the peer because the node stops. Returns false if the request has ended or its answer has
+   * started.
+   */
   giveUp(log: RequestLog): boolean {
     if (this.isEnded || this.sink?.headersSent === true) {
       return false;
@@ -207,8 +210,8 @@
   }
 
   /**
-   * What callers are told an endpoint takes includes the time that bodies take on the link to its machine:
-   * by the endpoint's own time alone, the quickest one got 1.5 times as many uploads as its link carries.
+   * Adds the body transfer time over the link to the endpoint's machine to the reported service time. With the
+   * endpoint's own service time alone, the fastest endpoint received 1.5 times as many uploads as its link can carry.
    */
   private withBodyTime(load: LoadReport): LoadReport {
     const { serviceMs } = load;
@@ -220,7 +223,7 @@
 
   private abortAnswer(wasPassedOn: boolean, load: LoadReport | undefined): void {
     if (!wasPassedOn) {
-      this.failed(new TruncatedAnswerError('the answer broke off'), load);
+      this.failed(new TruncatedAnswerError('the answer was truncated'), load);
     } else if (!this.isEnded) {
       this.end();
       this.link.send({ kind: 'cancel', streamId: this.streamId });
@@ -260,8 +263,9 @@
 }
 
 /**
- * A body that is here is not sent to another endpoint for want of a slot: that would carry it over a link
- * again. It waits for one until its target has passed, and then still takes one that comes free soon.
+ * Extends the slot wait of a request whose body has been received: sending it to another endpoint for lack of a
+ * slot would transfer the body over a link again. The request waits until its target time, and at least
+ * {@link MIN_SLOT_WAIT_MS}.
  */
 export function bufferedCall(
   { targetAtMs, ...call }: Call,
--- a/src/proxy/relay/request-link.ts
+++ b/src/proxy/relay/request-link.ts
@@ -1,10 +1,9 @@
-/** The connection of a relayed request, as the request sees it. */
 import type { StreamFrame } from './relay-frame.js';
 
-/** What a request needs of its connection. */
+/** Interface of a relayed request to its connection. */
 export interface RequestLink {
   readonly send: (frame: StreamFrame) => void;
-  /** The request is over; called once. */
+  /** The request has ended; called once. */
   readonly ended: () => void;
   readonly isStopping: () => boolean;
 }
--- a/src/proxy/relay/travel-time.ts
+++ b/src/proxy/relay/travel-time.ts
@@ -1,22 +1,22 @@
 /**
- * How much longer than usual the frames of one connection were on their way, or waited at either end
- * until they were read: what a request's times have lost before it is looked at. Pure.
+ * Estimates the excess transit delay of frames on one connection, including the time they waited at either end to
+ * be sent or read. This delay has to be subtracted from the remaining times of a request. Performs no I/O.
  */
 
 /**
- * How long a difference between the clocks counts at least, in milliseconds, and at most twice that: a
- * clock that stands still while its machine is suspended changes the difference for good.
+ * Minimum time for which a measured clock offset is kept, in milliseconds; the maximum is twice that. A clock that
+ * stops while its machine is suspended changes the offset permanently.
  */
 const WINDOW_MS = 10_000;
 
-/** Estimates from the sender's and the receiver's monotonic clocks, which need not agree. */
+/** Compares the monotonic clocks of sender and receiver, which need not be synchronized. */
 export class TravelTime {
-  /** Least differences seen in this window and the one before: those of frames that waited nowhere. */
+  /** Smallest offsets in the current and the previous window, which belong to frames without excess delay. */
   private minOffsetMs = Infinity;
   private previousMinOffsetMs = Infinity;
   private windowEndsAtMs = -Infinity;
 
-  /** Time that a frame has lost, in milliseconds; `sentAtMs` is on the sender's clock. */
+  /** Excess transit delay of a frame, in milliseconds; `sentAtMs` is on the sender's clock. */
   lostMs(sentAtMs: number, nowMs: number): number {
     if (nowMs >= this.windowEndsAtMs) {
       this.previousMinOffsetMs = this.minOffsetMs;
--- a/test/proxy/relay/connection-liveness.test.ts
+++ b/test/proxy/relay/connection-liveness.test.ts
@@ -41,10 +41,10 @@
     const liveness = livenessOf();
     expect(liveness.check(false, 5_000)).to.equal('none');
     liveness.recordReceived(5_000);
-    expect(liveness.check(true, 5_000)).to.equal('ask');
+    expect(liveness.check(true, 5_000)).to.equal('ping');
     liveness.recordAcknowledgement(5_000, 5_004);
     expect(liveness.check(true, 5_000 + QUIET_MS)).to.equal('none');
-    expect(liveness.check(true, 5_004 + QUIET_MS)).to.equal('ask');
+    expect(liveness.check(true, 5_004 + QUIET_MS)).to.equal('ping');
   });
 
   it('is silent once a new connection works and it still says nothing, and lost later', () => {
@@ -56,7 +56,7 @@
     });
     const suspectAtMs = QUIET_MS + MIN_PING_TIMEOUT_MS;
     expect(steps).to.deep.equal([
-      ['ask', QUIET_MS],
+      ['ping', QUIET_MS],
       ['suspect', suspectAtMs],
       ['silent', suspectAtMs + CONFIRMATION_GRACE_MS + STEP_MS],
       ['lost', QUIET_MS + LOSS_TIMEOUT_MS],
@@ -65,7 +65,7 @@
 
   it('is only suspect while no new connection can be opened', () => {
     const kinds = stepsOf(livenessOf(), 0, 60_000).map(([step]) => step);
-    expect(kinds).to.deep.equal(['ask', 'suspect']);
+    expect(kinds).to.deep.equal(['ping', 'suspect']);
   });
 
   it('is lost without a proof where slots may not be kept for long', () => {
@@ -91,7 +91,7 @@
     const liveness = livenessOf();
     expect(liveness.pingTimeoutMs).to.equal(MIN_PING_TIMEOUT_MS);
     for (let nowMs = 1_000; nowMs < 20_000; nowMs += 1_000) {
-      expect(liveness.check(true, nowMs)).to.equal('ask');
+      expect(liveness.check(true, nowMs)).to.equal('ping');
       liveness.recordAcknowledgement(nowMs, nowMs + (nowMs % 2_000 === 0 ? 90 : 150));
     }
     expect(liveness.pingTimeoutMs).to.be.within(200, 350);
@@ -107,7 +107,7 @@
       }
     });
     const [ping, suspect, silent] = steps;
-    expect(ping).to.deep.equal(['ask', 1_000]);
+    expect(ping).to.deep.equal(['ping', 1_000]);
     expect(suspect).to.deep.equal(['suspect', 1_000 + ONE_WAY_PING_TIMEOUT_MS]);
     expect(silent?.[0]).to.equal('silent');
     expect(steps).to.have.length(3);
@@ -115,7 +115,7 @@
 
   it('is given more time when this process stood still, but not for ever', () => {
     const liveness = livenessOf();
-    expect(liveness.check(true, 200)).to.equal('ask');
+    expect(liveness.check(true, 200)).to.equal('ping');
     expect(liveness.check(true, 700)).to.equal('none');
     expect(liveness.check(true, 701 + MIN_PING_TIMEOUT_MS + 200)).to.equal('none');
     expect(liveness.check(true, 2_000)).to.equal('suspect');
