--- a/test/proxy/relay/connection-liveness.test.ts
+++ b/test/proxy/relay/connection-liveness.test.ts
@@ -1,4 +1,4 @@
-/** When a connection that owes something is taken for silent. */
+/** Tests of when a connection with pending work is considered unresponsive. */
 import { expect } from 'chai';
 import {
   ConnectionLiveness,
@@ -13,12 +13,12 @@
 const QUIET_MS = 100;
 const STEP_MS = 10;
 
-/** A connection that was opened at 0, in 4 ms. */
+/** Liveness of a connection that was opened at time 0. */
 function livenessOf(unconfirmedLossTimeoutMs = Infinity, connectMs = 4): ConnectionLiveness {
   return new ConnectionLiveness({ quietMs: QUIET_MS, unconfirmedLossTimeoutMs }, connectMs, 0);
 }
 
-/** Looks until `untilMs`; gives the steps other than `none`, with their times. */
+/** Checks periodically until `untilMs`; returns the steps other than `none` with their times. */
 function stepsOf(
   liveness: ConnectionLiveness,
   fromMs: number,
@@ -36,8 +36,8 @@
   return steps;
 }
 
-describe('the pulse of a connection', () => {
-  it('is not asked for while nothing is owed, nor right after bytes arrived', () => {
+describe('ConnectionLiveness', () => {
+  it('does not ping without pending work or shortly after bytes arrived', () => {
     const liveness = livenessOf();
     expect(liveness.check(false, 5_000)).to.equal('none');
     liveness.recordReceived(5_000);
@@ -47,7 +47,7 @@
     expect(liveness.check(true, 5_004 + QUIET_MS)).to.equal('ping');
   });
 
-  it('is silent once a new connection works and it still says nothing, and lost later', () => {
+  it('becomes silent if nothing arrives after a new connection works, and lost later', () => {
     const liveness = livenessOf();
     const steps = stepsOf(liveness, 0, 5_000, (nowMs, step) => {
       if (step === 'suspect') {
@@ -63,18 +63,18 @@
     ]);
   });
 
-  it('is only suspect while no new connection can be opened', () => {
+  it('stays suspect while no new connection can be opened', () => {
     const kinds = stepsOf(livenessOf(), 0, 60_000).map(([step]) => step);
     expect(kinds).to.deep.equal(['ping', 'suspect']);
   });
 
-  it('is lost without a proof where slots may not be kept for long', () => {
+  it('becomes lost without a new connection after the unconfirmed loss timeout', () => {
     const steps = stepsOf(livenessOf(5_000), 0, 60_000);
     expect(steps.at(-1)).to.deep.equal(['lost', QUIET_MS + 5_000]);
     expect(steps).to.have.length(3);
   });
 
-  it('is well when the answer comes with the proof, as from a peer that was held up', () => {
+  it('recovers if a stalled peer acknowledges the ping shortly after a new connection works', () => {
     const liveness = livenessOf();
     const steps = stepsOf(liveness, 0, 1_000, (nowMs) => {
       if (nowMs === 400) {
@@ -87,7 +87,7 @@
     expect(steps.map(([step]) => step).filter((step) => step === 'silent')).to.deep.equal([]);
   });
 
-  it('is waited for as long as measured round trips let one expect, within bounds', () => {
+  it('derives the ping timeout from measured round-trip times, within bounds', () => {
     const liveness = livenessOf();
     expect(liveness.pingTimeoutMs).to.equal(MIN_PING_TIMEOUT_MS);
     for (let nowMs = 1_000; nowMs < 20_000; nowMs += 1_000) {
@@ -98,7 +98,7 @@
     expect(livenessOf(Infinity, 2_000).pingTimeoutMs).to.equal(MAX_PING_TIMEOUT_MS);
   });
 
-  it('is asked for also while bytes arrive, and is silent when only the way there is', () => {
+  it('pings while bytes arrive, and becomes silent if only the outbound direction fails', () => {
     const liveness = livenessOf();
     const steps = stepsOf(liveness, 0, 6_000, (nowMs, step) => {
       liveness.recordReceived(nowMs);
@@ -113,7 +113,7 @@
     expect(steps).to.have.length(3);
   });
 
-  it('is given more time when this process stood still, but not for ever', () => {
+  it('postpones the timeout after a pause of this process, but only a limited number of times', () => {
     const liveness = livenessOf();
     expect(liveness.check(true, 200)).to.equal('ping');
     expect(liveness.check(true, 700)).to.equal('none');
--- a/test/proxy/relay/credit-pool-limits.test.ts
+++ b/test/proxy/relay/credit-pool-limits.test.ts
@@ -1,12 +1,11 @@
 /**
- * Where the credit of a node for bodies does not hold what it says.
+ * Guards against three failures of the credit pool:
  *
- * - A pace that was measured while the link was narrow, or the process paused, is kept for good: every
- *   upload is then refused by its head for the time that it is expected to take, no body comes, and so
- *   the pace is never measured again.
- * - On a link that takes longer than 150 ms for the pool every sender counts as stalled, and its credit is
- *   given to the next: what is under way grows with the number of bodies.
- * - A long body keeps the whole pool to itself until it is over.
+ * - A rate measured while the link was slow or the process paused is kept forever: every upload is then refused
+ *   based on its head because of its expected transfer time, no body arrives, and the rate is never measured again.
+ * - On a link that needs more than 150 ms to transfer the pool, every sender is considered stalled and its credit is
+ *   granted to the next one, so that the bytes in flight grow with the number of bodies.
+ * - A long body occupies the whole pool until it ends.
  */
 import { expect } from 'chai';
 import { CreditPool, POOL_BYTES, type BodyCredit } from '../../../src/proxy/relay/credit-pool.js';
@@ -16,10 +15,10 @@
 const UPLOAD_BYTES = 60_000;
 const FRAME_BYTES = 16 * 1024;
 
-/** A clock and one link into the node, which carries frames in the order of their credit. */
+/** A virtual clock and one link to the node that transfers frames in the order of their grants. */
 class Link implements Scheduler {
   readonly pool = new CreditPool(this);
-  /** Bytes that were granted and have not arrived, now and at most. */
+  /** Bytes granted but not yet received: current and maximum. */
   inFlightBytes = 0;
   maxInFlightBytes = 0;
   private readonly clock = new VirtualScheduler();
@@ -45,12 +44,12 @@
     this.clock.runUntil(this.clock.nowMs + ms);
   }
 
-  /** The process does not run: what was due comes late, and at once. */
+  /** Pauses the process: timers that were due fire late and all at once. */
   pause(ms: number): void {
     this.pausedMs += ms;
   }
 
-  /** A body whose sender uses all credit at once; its receiver reads at once. */
+  /** Opens a body whose sender uses all credit immediately and whose receiver reads immediately. */
   upload(lengthBytes: number, rank = 0): Body {
     const body = new Body(this, lengthBytes, rank);
     body.credit.addDemand(64 * 1024);
@@ -95,8 +94,8 @@
   }
 }
 
-describe('the credit of a node for bodies, at its limits', () => {
-  /** What becomes of one upload a second that has 2 s left and is refused by its head if they do not do. */
+describe('CreditPool under adverse conditions', () => {
+  /** Submits one upload per second; each is refused based on its head if it is expected to take more than 2 s. */
   function outcomesOf(link: Link, count: number): Set<string> {
     const outcomes = new Set<string>();
     for (let second = 0; second < count; second += 1) {
@@ -111,7 +110,7 @@
     return outcomes;
   }
 
-  it('takes uploads again once a link that was narrow for a while is wide', () => {
+  it('accepts uploads again after a slow link becomes fast', () => {
     const link = new Link(20);
     Array.from({ length: 60 }, () => link.upload(UPLOAD_BYTES));
     link.advance(300_000);
@@ -120,7 +119,7 @@
     expect([...outcomesOf(link, 60)]).to.include('taken');
   });
 
-  it('takes uploads again after a pause of the process', () => {
+  it('accepts uploads again after a pause of the process', () => {
     const link = new Link(875);
     Array.from({ length: 10 }, () => link.upload(UPLOAD_BYTES));
     link.pause(5_000);
@@ -129,14 +128,14 @@
     expect([...outcomesOf(link, 60)]).to.include('taken');
   });
 
-  it('has no more than the pool under way on a link of 1 Mbit/s', () => {
+  it('bounds the bytes in flight on a 1 Mbit/s link', () => {
     const link = new Link(125);
     Array.from({ length: 60 }, () => link.upload(UPLOAD_BYTES));
     link.advance(5_000);
     expect(link.maxInFlightBytes).to.be.at.most(2 * POOL_BYTES);
   });
 
-  it('lets a short body pass while a long one of its rank is under way', () => {
+  it('lets a short body complete while a long one of the same rank is in progress', () => {
     const link = new Link(875);
     const long = link.upload(20_000_000);
     link.advance(100);
--- a/test/proxy/relay/credit-pool.test.ts
+++ b/test/proxy/relay/credit-pool.test.ts
@@ -1,10 +1,10 @@
-/** The credit that a node gives to the senders of bodies. */
+/** Tests of the flow-control credit that a node grants to the senders of bodies. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { CreditPool, POOL_BYTES, type BodyCredit } from '../../../src/proxy/relay/credit-pool.js';
 import type { Scheduler } from '../../../src/proxy/scheduler.js';
 
-/** A clock that is moved by hand. */
+/** A clock that is advanced manually. */
 class ManualTime implements Scheduler {
   private nowMs = 0;
   private timers: { readonly atMs: number; readonly action: () => void }[] = [];
@@ -29,7 +29,7 @@
   }
 }
 
-/** A sender that uses its credit when told to. */
+/** A sender that uses its credit only when `send` is called. */
 class Sender {
   credit: BodyCredit | undefined;
   grantedBytes = 0;
@@ -55,7 +55,7 @@
     return this.grantedBytes - this.sentBytes;
   }
 
-  /** Sends what it may, up to `bytes`, and ends the body with its last byte. */
+  /** Sends as much as its credit allows, up to `bytes`, and closes the body after its last byte. */
   send(bytes = Infinity): void {
     const sent = Math.min(bytes, this.inFlightBytes, this.lengthBytes - this.sentBytes);
     this.sentBytes += sent;
@@ -69,8 +69,8 @@
   }
 }
 
-describe('the credit of a node for bodies', () => {
-  /** Carries bodies to their ends, by senders that `pick` takes from; calls `look` before each step. */
+describe('CreditPool', () => {
+  /** Transfers all bodies completely; `pick` selects the next sender, `inspect` is called before each step. */
   function carry(
     bodies: readonly [number, number][],
     choices: Iterator<number>,
@@ -96,7 +96,7 @@
   });
   const anyChoices = fc.infiniteStream(fc.nat({ max: 1_000_000 }));
 
-  it('is never more than the pool for all of them, and carries each to its end', () => {
+  it('never grants more than the pool in total, and completes every body', () => {
     fc.assert(
       fc.property(anyBodies, anyChoices, (bodies, choices) => {
         const lastServedStep = new Map<Sender, number>();
@@ -116,7 +116,7 @@
     );
   });
 
-  it('is one grant more at most for each that others overtake, and carries each to its end', () => {
+  it('exceeds the pool by at most one grant per overtaken sender, and completes every body', () => {
     fc.assert(
       fc.property(anyBodies, anyChoices, (bodies, choices) => {
         const anyOf = (ready: readonly Sender[], choice: number): Sender | undefined =>
@@ -129,7 +129,7 @@
     );
   });
 
-  it('goes to the urgent before the others, and within a rank to one body after the other', () => {
+  it('grants credit by rank, and in order within a rank', () => {
     const pool = new CreditPool(new ManualTime());
     const [first, second, third] = [60_000, 60_000, 60_000].map(
       (lengthBytes) => new Sender(pool, lengthBytes, 1),
@@ -146,7 +146,7 @@
     expect(granted()).to.deep.equal([32_768, 16_384, 16_384, 32_768]);
   });
 
-  it('passes on what a sender leaves unused, and bears many that send nothing', () => {
+  it('reassigns unused credit, even if many senders send nothing', () => {
     const time = new ManualTime();
     const pool = new CreditPool(time);
     const silent = Array.from({ length: 20 }, () => new Sender(pool, 60_000));
@@ -160,7 +160,7 @@
     expect(Math.max(...waiting)).to.be.at.most(POOL_BYTES);
   });
 
-  it('takes a sender back that others had overtaken once', () => {
+  it('restores full credit to a sender that was overtaken', () => {
     const time = new ManualTime();
     const pool = new CreditPool(time);
     const slow = new Sender(pool, 250_000);
@@ -176,7 +176,7 @@
     expect(slow.inFlightBytes).to.equal(POOL_BYTES);
   });
 
-  it('tells how long a body will take behind those that wait, once it has seen them arrive', () => {
+  it('estimates the arrival of a body behind waiting ones once a rate is measured', () => {
     const time = new ManualTime();
     const pool = new CreditPool(time);
     const lengthBytes = 65_536;
@@ -198,7 +198,7 @@
     expect((second.credit?.expectedArrival().endsAtMs ?? 0) - time.now()).to.be.closeTo(20, 5);
   });
 
-  it('tells the mean time of whole bodies; one that was given up does not count', () => {
+  it('reports the mean transfer time of completed bodies, without abandoned ones', () => {
     const time = new ManualTime();
     const pool = new CreditPool(time);
     expect(pool.meanBodyMs).to.equal(0);
--- a/test/proxy/relay/delayed-link.ts
+++ b/test/proxy/relay/delayed-link.ts
@@ -1,10 +1,10 @@
-/** A link towards one port that passes bytes late, both ways, as between processes that wait for a core. */
+/** A link to one port that delays bytes in both directions, as between processes that wait for a CPU core. */
 import { once } from 'node:events';
 import net, { type AddressInfo, type Socket } from 'node:net';
 
 const HOST = '127.0.0.1';
 
-/** The link; any number of bytes pass at once. */
+/** Delays bytes without limiting the throughput. */
 export class DelayedLink {
   private readonly sockets = new Set<Socket>();
   private readonly server = net.createServer((client) => this.accept(client));
--- a/test/proxy/relay/doubtful-attempts.test.ts
+++ b/test/proxy/relay/doubtful-attempts.test.ts
@@ -1,11 +1,10 @@
 /**
- * What becomes of attempts that are in doubt, beside the plain cases: an answer that came second, a peer of
- * which nothing is heard for longer than a slow connection takes, and a connection that was silent before.
+ * Suspect attempts in less common cases. Guards against three failures:
  *
- * The answer that came second was read to its end, which a stream may never have, though its caller had
- * left. A peer that was held up for longer than 3.1 s ended what its endpoint was at work on, although no
- * other attempt was left; and a connection that had been silent once was closed under requests that may not
- * be repeated.
+ * - The later of two answers is read to its end although its caller has disconnected; a stream may never end.
+ * - A pause of the peer for longer than 3.1 s ends a request that its endpoint is running, although no other attempt
+ *   is left.
+ * - A connection that was unresponsive once is closed while it carries requests that must not be repeated.
  */
 import { once } from 'node:events';
 import http from 'node:http';
@@ -18,17 +17,17 @@
 
 const DEADLINE_MS = 8_000;
 const STALLED_MS = 900;
-/** Longer than nothing is heard of a peer until what may be repeated is ended. */
-const PAUSED_MS = LOSS_TIMEOUT_MS + 700;
+/** Longer than the time after which a connection is lost. */
+const LOSS_PAUSE_MS = LOSS_TIMEOUT_MS + 700;
 const WORK_MS = 150;
 const CONNECT_TIMEOUT_MS = 300;
-/** Time in which an endpoint hears that its answer is not wanted, with room for a busy machine. */
+/** Time for an endpoint to be notified that its answer was cancelled, with a margin for a busy machine. */
 const CANCELLED_WITHIN_MS = 1_500;
 
 const STREAM_HEAD = 'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n';
 const STREAM_PART = '4\r\npart\r\n';
 
-describe('an attempt in doubt', () => {
+describe('a suspect attempt', () => {
   let setup: SlowMesh;
   let caller: TestNode;
 
@@ -43,7 +42,7 @@
     setup.configure(method === 'GET' ? 'safe' : 'unsafe', DEADLINE_MS);
   }
 
-  it('whose answer comes second is ended, though that is a stream', async function () {
+  it('is ended if its answer comes second, even if that is a stream', async function () {
     this.timeout(10_000);
     await addCaller('GET', 2);
     const request = http.get({ port: caller.callerPort, host: '127.0.0.1', path: '/' });
@@ -68,17 +67,17 @@
     });
   });
 
-  it('is waited for while its peer is held up and no other attempt is left', async function () {
+  it('is awaited while its peer is paused and no other attempt is left', async function () {
     this.timeout(10_000);
     await addCaller('GET', 0);
     const answer = call(caller.callerPort, { method: 'GET' });
     await until(() => setup.slow.heads.length === 1);
-    setup.link.pauseTraffic(PAUSED_MS);
+    setup.link.pauseTraffic(LOSS_PAUSE_MS);
     setTimeout(() => setup.answerSlow(), WORK_MS);
     expect(await answer).to.include({ status: 200, body: 'slow' });
   });
 
-  it('is ended once its endpoint is gone from the configuration with its peer', async function () {
+  it('is ended once its endpoint is delisted while its peer is unresponsive', async function () {
     this.timeout(10_000);
     await addCaller('GET', 0);
     const answer = call(caller.callerPort, { method: 'GET' });
@@ -96,7 +95,7 @@
     );
   });
 
-  describe('at a machine that is dark', () => {
+  describe('at an unreachable machine', () => {
     const UNREACHABLE_MS = 5_000;
     let unreachableLink: UnreachableLink;
 
@@ -107,7 +106,7 @@
 
     afterEach(() => unreachableLink.close());
 
-    /** A request that is at work at the dark machine, where no other attempt may follow. */
+    /** Sends a request that is running when its machine becomes unreachable and no other attempt is allowed. */
     async function callUnreachableMachine(method: 'GET' | 'POST') {
       caller = await setup.mesh.addNode('n1', {
         maxRetries: 0,
@@ -125,37 +124,37 @@
       return { result: await answer, responseMs: performance.now() - unreachableAtMs };
     }
 
-    it('is ended, for its caller to ask again', async function () {
+    it('is ended, so that its caller can retry', async function () {
       this.timeout(10_000);
       const { result, responseMs } = await callUnreachableMachine('GET');
       expect(result.status).to.equal(502);
       expect(responseMs).to.be.below(LOSS_TIMEOUT_MS);
     });
 
-    it('is waited for where it may run only once', async function () {
+    it('is awaited if its request is not repeatable', async function () {
       this.timeout(10_000);
       const { result } = await callUnreachableMachine('POST');
       expect(result).to.include({ status: 200, body: 'other' });
     });
   });
 
-  it('that may run only once is waited for while its peer is held up, though its connection was silent before', async function () {
+  it('is awaited if not repeatable while its peer is paused after a stall of the connection', async function () {
     this.timeout(10_000);
     await addCaller('POST', 0);
     const answer = call(caller.callerPort, { method: 'POST' });
     await until(() => setup.slow.heads.length === 1);
     setup.link.stallConnections(STALLED_MS);
-    setTimeout(() => setup.link.pauseTraffic(PAUSED_MS), STALLED_MS + 300);
+    setTimeout(() => setup.link.pauseTraffic(LOSS_PAUSE_MS), STALLED_MS + 300);
     setTimeout(() => setup.answerSlow(), STALLED_MS + 600);
     expect(await answer).to.include({ status: 200, body: 'slow' });
   });
 
-  it('that may run only once is waited for while its peer is held up', async function () {
+  it('is awaited if not repeatable while its peer is paused', async function () {
     this.timeout(10_000);
     await addCaller('POST', 0);
     const answer = call(caller.callerPort, { method: 'POST' });
     await until(() => setup.slow.heads.length === 1);
-    setup.link.pauseTraffic(PAUSED_MS);
+    setup.link.pauseTraffic(LOSS_PAUSE_MS);
     setTimeout(() => setup.answerSlow(), WORK_MS);
     expect(await answer).to.include({ status: 200, body: 'slow' });
   });
--- a/test/proxy/relay/early-answers.test.ts
+++ b/test/proxy/relay/early-answers.test.ts
@@ -1,4 +1,4 @@
-/** Endpoints that answer before they have read a long body, and read on later. */
+/** Endpoints that answer before they have read a long body, and read the rest later. */
 import { once } from 'node:events';
 import http from 'node:http';
 import net, { type AddressInfo, type Socket } from 'node:net';
@@ -6,11 +6,11 @@
 import { call, echoEndpoint, echoService, rawAnswer, TestMesh } from '../rig.js';
 
 const HOST = '127.0.0.1';
-/** Collected by the endpoint's node, and passed on as it comes. */
+/** One body that the endpoint's node buffers and one that it streams. */
 const LENGTHS_BYTES = [200_000, 2_000_000];
-/** More than fit into the pool of credit together. */
-const REQUESTS = 12;
-/** Time after its answer for which the endpoint reads nothing, in milliseconds. */
+/** Enough requests for their bodies to exceed the credit pool in total. */
+const REQUEST_COUNT = 12;
+/** Time for which the endpoint stops reading after its answer, in milliseconds. */
 const READ_DELAY_MS = 50;
 
 describe('an endpoint that answers before it has read the body', () => {
@@ -41,11 +41,11 @@
   });
 
   for (const bytes of LENGTHS_BYTES) {
-    it(`is passed on, and leaves slots and credit to others, ${bytes} bytes`, async () => {
+    it(`delivers its answer and releases its slot and credit, ${bytes} bytes`, async () => {
       const agent = new http.Agent({ keepAlive: true, maxSockets: 1 });
       const port = mesh.nodes[0]?.callerPort ?? 0;
       const statuses: string[] = [];
-      for (let count = 0; count < REQUESTS; count += 1) {
+      for (let count = 0; count < REQUEST_COUNT; count += 1) {
         const { status, body } = await call(port, {
           agent,
           method: 'POST',
@@ -55,12 +55,12 @@
         statuses.push(`${status} ${body}`);
       }
       agent.destroy();
-      expect(statuses).to.deep.equal(Array(REQUESTS).fill('200 early'));
+      expect(statuses).to.deep.equal(Array(REQUEST_COUNT).fill('200 early'));
     });
   }
 });
 
-/** Answers each head at once, and reads its body only after a while. */
+/** Answers each request head immediately, and reads the body only after a delay. */
 function answerEarly(socket: Socket): void {
   let bodyBytesLeft = 0;
   socket.on('data', (chunk) => {
--- a/test/proxy/relay/faulty-link.ts
+++ b/test/proxy/relay/faulty-link.ts
@@ -1,23 +1,23 @@
-/** A link towards one port on which the connections that are open can be silenced for good. */
+/** A link to one port that can drop, pause or stall the traffic of its connections. */
 import { once } from 'node:events';
 import net, { type AddressInfo, type Socket } from 'node:net';
 
 const HOST = '127.0.0.1';
 
-/** Which bytes of a silenced connection are lost: those towards the port, those from it, or both. */
+/** Direction in which the bytes of a connection are dropped: towards the port, from it, or both. */
 export type DropDirection = 'towards' | 'from' | 'both';
 
 interface Pair {
   readonly client: Socket;
   readonly upstream: Socket;
   dropped: DropDirection | undefined;
-  /** Whether what it carries is kept back for a while. */
+  /** Whether the traffic of this connection is stalled. */
   isStalled: boolean;
 }
 
-/** The link. New connections work at any time. */
+/** New connections work unless all traffic is paused. */
 export class FaultyLink {
-  /** Connections that were opened through the link. */
+  /** Number of connections opened through the link. */
   openedCount = 0;
   private isPaused = false;
   private readonly pairs = new Set<Pair>();
@@ -38,14 +38,14 @@
     return (this.server.address() as AddressInfo).port;
   }
 
-  /** From now on the connections that are open carry nothing that way, their ends among it. */
-  dropTraffic(silence: DropDirection): void {
+  /** Permanently drops the bytes and ends of all open connections in the given direction. */
+  dropTraffic(direction: DropDirection): void {
     this.pairs.forEach((pair) => {
-      pair.dropped = silence;
+      pair.dropped = direction;
     });
   }
 
-  /** Nothing passes for so long, on new connections either: as if the target's process was held up. */
+  /** Pauses all connections, including new ones, as if the target process were paused. */
   pauseTraffic(pausedMs: number): void {
     this.isPaused = true;
     this.pairs.forEach((pair) => this.applyFlow(pair));
@@ -55,7 +55,7 @@
     }, pausedMs);
   }
 
-  /** The connections that are open carry nothing for so long, then all that was sent; new ones work. */
+  /** Delays all bytes on the open connections until the stall ends; new connections work. */
   stallConnections(stalledMs: number): void {
     const stalled = [...this.pairs];
     const setStalled = (isStalled: boolean): void =>
--- a/test/proxy/relay/narrow-link.ts
+++ b/test/proxy/relay/narrow-link.ts
@@ -1,20 +1,20 @@
-/** A link of few bytes a second towards one port, shared by all connections to it, as a machine's is. */
+/** A low-bandwidth link to one port, shared by all connections to it like the link of a machine. */
 import { once } from 'node:events';
 import net, { type AddressInfo, type Socket } from 'node:net';
 
 const HOST = '127.0.0.1';
-/** Time between two turns of the link, in milliseconds. */
+/** Interval between transfers, in milliseconds. */
 const TICK_MS = 2;
 
-/** Bytes that wait their turn, and where they go. */
+/** Queued bytes with their destination. */
 interface QueuedBytes {
   readonly to: Socket;
   readonly bytes: Buffer;
 }
 
-/** The link. What its connections carry to the port passes in one order; answers pass at once. */
+/** Transfers bytes to the port through one FIFO queue; bytes from the port are forwarded immediately. */
 export class NarrowLink {
-  /** Bytes that were sent towards the port. */
+  /** Bytes received from clients for the port. */
   carriedBytes = 0;
   private readonly queue: QueuedBytes[] = [];
   private readonly sockets = new Set<Socket>();
@@ -43,7 +43,7 @@
     this.sockets.forEach((socket) => socket.destroy());
   }
 
-  /** Cuts the connections that are open; new ones work. */
+  /** Closes all open connections; new ones work. */
   cut(): void {
     this.sockets.forEach((socket) => socket.destroy());
   }
--- a/test/proxy/relay/relay-connection.test.ts
+++ b/test/proxy/relay/relay-connection.test.ts
@@ -1,4 +1,4 @@
-/** A relay connection: what goes first, what bodies may take, how lost time is found. */
+/** Tests of frame order, flow control of bodies, and estimation of transit delay. */
 import { PassThrough, Writable } from 'node:stream';
 import { finished } from 'node:stream/promises';
 import { expect } from 'chai';
@@ -23,7 +23,7 @@
   return new Promise((resolve) => setImmediate(resolve));
 }
 
-/** The frames in what was written. */
+/** Decodes the frames in the written chunks. */
 function framesIn(chunks: readonly Buffer[]): RelayFrame[] {
   const reader = new FrameReader();
   reader.push(Buffer.concat(chunks));
@@ -35,7 +35,7 @@
 }
 
 describe('a relay connection', () => {
-  it('sends what belongs to one turn in one write, a cancellation before bodies', async () => {
+  it('combines the frames of one event loop iteration into one write, with a cancellation before bodies', async () => {
     const socket = new PassThrough();
     const chunks: Buffer[] = [];
     socket.on('data', (chunk: Buffer) => chunks.push(chunk));
@@ -50,7 +50,7 @@
     expect(framesIn(chunks).map(({ kind }) => kind)).to.deep.equal(['cancel', 'body', 'body']);
   });
 
-  it('reads what came with the opening only once its owner holds the connection', async () => {
+  it('delivers frames received with the upgrade only after construction', async () => {
     const head = encodeRelayFrame({ kind: 'cancel', streamId: 7 });
     const received: RelayFrame[] = [];
     let isConstructed = false;
@@ -67,10 +67,10 @@
   });
 
   /**
-   * On a connection with one request at a time, a question each look cost both nodes more than a third of
-   * the request: endpoints take half a second, and the peer had shown at the first question that it has it.
+   * On a connection with one request at a time, a ping at every check cost both nodes more than a third of the
+   * request: endpoints take half a second, and the first acknowledgement has already shown that the request arrived.
    */
-  it('asks soon whether a request arrived, and seldom once that is known', async () => {
+  it('pings soon after a request is sent, and rarely once its delivery is acknowledged', async () => {
     let nowMs = 1_000;
     const socket = new PassThrough();
     const pingTimesMs: number[] = [];
@@ -114,7 +114,7 @@
     expect(await pingTimesFor([3_400, 3_600])).to.deep.equal([3_600]);
   });
 
-  it('holds bodies back while the socket is full, and still sends a cancellation at once', async () => {
+  it('queues bodies while the socket is full, but sends a cancellation immediately', async () => {
     const written: Buffer[] = [];
     const stalled = new Writable({
       highWaterMark: 1,
@@ -136,11 +136,11 @@
   });
 
   /**
-   * A node that stops ends its connections with answers of its peers still waiting in them. What did
-   * not fit into the socket at that moment was dropped, and what came later broke the connection off
-   * with all that it held: peers got halves of answers that had been counted as given.
+   * A stopping node ends connections that still have queued answers. Guards against dropping frames that do not fit
+   * into the socket at that moment, and against a later write that destroys the connection with its queue: peers
+   * then receive truncated answers that were counted as delivered.
    */
-  it('sends all that waits before it closes, and is not broken off by what comes later', async () => {
+  it('sends all queued frames before it closes, and ignores later frames', async () => {
     const socket = new PassThrough({ highWaterMark: 1 });
     const chunks: Buffer[] = [];
     socket.on('data', (chunk: Buffer) => chunks.push(chunk));
@@ -158,8 +158,8 @@
   });
 });
 
-describe('a body in parts', () => {
-  it('arrives as it was sent, within its window, however slowly it is read', async () => {
+describe('a body sent in parts', () => {
+  it('arrives unchanged and within its window if it is read slowly', async () => {
     const sent = Buffer.from(Array.from({ length: 300_000 }, (_, idx) => idx % 251));
     let unreadBytes = 0;
     let maxUnreadBytes = 0;
@@ -187,7 +187,7 @@
 });
 
 describe('a body whose sender ignores its window', () => {
-  it('is broken off, so that it takes no more memory than that', () => {
+  it('is aborted, so that its memory use stays within the window', () => {
     const reader = new RelayBodyReader(() => undefined);
     for (let part = 0; part < 100; part += 1) {
       reader.receive(Buffer.alloc(16 * 1024), false);
@@ -197,8 +197,8 @@
   });
 });
 
-describe('the time that a frame lost', () => {
-  it('is what it took beyond the quickest frame, whatever the clocks say', () => {
+describe('TravelTime', () => {
+  it('measures the delay beyond the fastest frame, regardless of the clock offset', () => {
     const travelTime = new TravelTime();
     const lost = [
       [100, 5_105],
@@ -209,7 +209,7 @@
     expect(lost).to.deep.equal([0, 0, 597, 0]);
   });
 
-  it('is found again a while after one of the clocks was held up', () => {
+  it('recovers some time after one of the clocks was suspended', () => {
     const travelTime = new TravelTime();
     travelTime.lostMs(0, 5_000);
     const lost: number[] = [];
--- a/test/proxy/relay/relay-frame.test.ts
+++ b/test/proxy/relay/relay-frame.test.ts
@@ -1,4 +1,4 @@
-/** Frames of the relay protocol: what is encoded is decoded alike, and nothing else is taken. */
+/** Tests of encoding and decoding relay frames, including malformed ones. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import {
@@ -83,13 +83,13 @@
   }),
 );
 
-/** The frame without absent fields. */
+/** The frame without undefined fields. */
 function defined(frame: RelayFrame): unknown {
   return Object.fromEntries(Object.entries(frame).filter(([, value]) => value !== undefined));
 }
 
 describe('relay frames', () => {
-  it('are decoded as they were encoded', () => {
+  it('round-trip through encoding and decoding', () => {
     fc.assert(
       fc.property(frames, (frame) => {
         const encoded = encodeRelayFrame(frame);
@@ -104,7 +104,7 @@
     );
   });
 
-  it('have no room for a request id of over 256 bytes', () => {
+  it('reject a request ID longer than 256 bytes', () => {
     const [request] = fc.sample(
       frames.filter(({ kind }) => kind === 'request'),
       { numRuns: 1, seed: 1 },
@@ -115,7 +115,7 @@
     expect(() => encodeRelayFrame(withId(257))).to.throw(FrameError);
   });
 
-  it('are refused when they end too early or are of no known kind', () => {
+  it('are rejected if they are truncated or of an unknown kind', () => {
     fc.assert(
       fc.property(frames, fc.nat({ max: 400 }), (frame, cut) => {
         const body = encodeRelayFrame(frame).subarray(LENGTH_PREFIX_BYTES);
--- a/test/proxy/relay/relay-version.test.ts
+++ b/test/proxy/relay/relay-version.test.ts
@@ -1,10 +1,10 @@
 /**
- * Nodes of different versions of the relay protocol, as during a rolling upgrade: both ends check the
- * version that an upgrade names.
+ * Nodes with different versions of the relay protocol, as during a rolling upgrade: both ends check the version in
+ * the `Upgrade` header.
  *
- * Otherwise a sender that waits for credit and a receiver that gives none before the first bytes would
- * wait for each other until the deadline; and the sender would say that the request has not run, though
- * the receiver may have passed its head on.
+ * Otherwise a sender that waits for credit and a receiver that grants none before the first bytes would deadlock
+ * until the deadline, and the sender would report that the request has not run although the receiver may have
+ * forwarded its head.
  */
 import { once } from 'node:events';
 import http from 'node:http';
@@ -17,7 +17,7 @@
 import { echoEndpoint, echoService, TestMesh } from '../rig.js';
 
 const REFUSED_COUNT = 20;
-/** Time in which a node lets go of what its peers have closed, in milliseconds. */
+/** Time for a node to release connections that its peers have closed, in milliseconds. */
 const SETTLE_MS = 300;
 
 describe('relay connections between versions', () => {
@@ -32,7 +32,7 @@
     mesh.nodes.length = 0;
   });
 
-  it('are refused to a peer that asks for another version', async () => {
+  it('are refused to a peer that requests another version', async () => {
     const { relayPort } = await mesh.addNode('n1');
     const request = http.request({
       port: relayPort,
@@ -60,7 +60,7 @@
   ] as const;
   for (const { reason, upgrade, tokenOf } of refusals) {
     for (const end of ['closes', 'resets'] as const) {
-      it(`leave nothing open at a node that refused one for ${reason} when the peer ${end} it`, async () => {
+      it(`are released after a refusal for ${reason} when the peer ${end} the connection`, async () => {
         const { relayPort, proxy } = await mesh.addNode('n1');
         const token = tokenOf === undefined ? '' : mesh.tokenOf(tokenOf);
         for (let count = 0; count < REFUSED_COUNT; count += 1) {
@@ -86,7 +86,7 @@
     }
   }
 
-  it('are not used when the peer switches to another version', async () => {
+  it('are not used if the peer switches to another version', async () => {
     const server = net.createServer((socket) => {
       sockets.push(socket);
       socket.on('error', () => socket.destroy());
--- a/test/proxy/relay/relayed-bodies.test.ts
+++ b/test/proxy/relay/relayed-bodies.test.ts
@@ -1,10 +1,10 @@
 /**
- * Bodies of many lengths that cross relay connections while requests are aborted, connections die and
- * senders are slow. Each request gets one outcome, its body reaches the endpoint unchanged and at most
- * once, what is said not to have run has not been begun, and no credit is left behind.
+ * Bodies of many lengths sent over relay connections while requests are aborted, connections are closed and senders
+ * are slow. Each request has exactly one outcome, its body reaches the endpoint unchanged and at most once, a request
+ * reported as not run was never started, and no credit is leaked.
  *
- * The last test shows what happens to bodies that come together: admission by the head does not count
- * those that are on their way, so all are carried, and all but a few are refused after that.
+ * The last test guards against admission that ignores the bodies in flight: all of several simultaneous bodies would
+ * be transferred, and all but a few of them refused afterwards.
  */
 import { createHash } from 'node:crypto';
 import { once } from 'node:events';
@@ -24,7 +24,7 @@
   0, 1, 4_095, 4_096, 4_097, 16_384, 60_000, 65_535, 65_536, 65_537, 262_143, 262_144, 262_145,
   400_000,
 ];
-const REQUESTS = 60;
+const REQUEST_COUNT = 60;
 const MAX_BYTES = 64 * 1024 * 1024;
 
 type Form = 'held' | 'sized' | 'chunked' | 'short' | 'stalled';
@@ -40,7 +40,7 @@
   wasUnsentAtAbort: boolean;
 }
 
-/** A body that comes from a slow sender, which may break off or stop sending. */
+/** A body from a slow sender, which may abort the body or stop sending. */
 function slowBody(form: Form, bytes: Buffer, random: () => number): RequestBody {
   const source = Object.assign(new PassThrough(), { complete: false });
   const sentBytes =
@@ -66,11 +66,11 @@
   return new StreamedBody(source, form === 'chunked' ? undefined : bytes.length, [], MAX_BYTES);
 }
 
-describe('bodies that cross relay connections', () => {
+describe('bodies sent over relay connections', () => {
   const mesh = new TestMesh();
   const clients: RelayClient[] = [];
   const links: NarrowLink[] = [];
-  /** Digests of the bodies that the endpoint got whole, and requests that it began, by name. */
+  /** Digests of the bodies that the endpoint received completely, and start counts, by request ID. */
   const receivedDigests = new Map<string, string[]>();
   const startCounts = new Map<string, number>();
   let isUnresponsive = false;
@@ -146,7 +146,7 @@
     };
   }
 
-  /** What is wrong with the end of a request. */
+  /** Violations of the guarantees for the outcome of a request. */
   function violationsOf(run: Run): string[] {
     const name = `${run.id} ${run.form} ${run.bytes.length} [${run.outcomes.join()}]`;
     const digest = createHash('sha1').update(run.bytes).digest('hex');
@@ -158,11 +158,11 @@
       );
     }
     if (digests.length > 1 || digests.some((one) => one !== digest)) {
-      violations.push(`${name}: body came ${digests.length} times or changed`);
+      violations.push(`${name}: body received ${digests.length} times or changed`);
     }
     const isReportedNotRun = run.outcomes.some((outcome) => outcome.endsWith(' not-run'));
     if ((isReportedNotRun || run.wasUnsentAtAbort) && startCounts.has(run.id)) {
-      violations.push(`${name}: was begun`);
+      violations.push(`${name}: was started`);
     }
     return violations;
   }
@@ -173,7 +173,7 @@
   }
 
   for (const seed of [1, 2]) {
-    it(`have one true outcome each, seed ${seed}`, async () => {
+    it(`have one correct outcome each, seed ${seed}`, async () => {
       const random = seededRandom(seed);
       const pick = <T>(values: readonly T[]): T =>
         values[Math.floor(random() * values.length)] as T;
@@ -183,7 +183,7 @@
         peers.push(await addPeer(`p${count}`, 2_000));
       }
       const runs: Run[] = [];
-      for (let count = 0; count < REQUESTS; count += 1) {
+      for (let count = 0; count < REQUEST_COUNT; count += 1) {
         const bytes = Buffer.alloc(pick(LENGTHS), `${count}-`);
         const form = bytes.length === 0 ? 'held' : pick(FORMS);
         const body = form === 'held' ? new HeldBody(bytes) : slowBody(form, bytes, random);
@@ -227,7 +227,7 @@
     });
   }
 
-  it('are not carried when they come together for an endpoint that has no room for them', async () => {
+  it('are not transferred if they are sent simultaneously to an endpoint without capacity', async () => {
     isUnresponsive = true;
     const endpoint = configure(1);
     const [client, link] = await addPeer('p', 875);
@@ -239,7 +239,7 @@
       });
     }
     await new Promise((resolve) => setTimeout(resolve, 2_500));
-    // One slot and two places to wait; a few more may be on their way.
+    // One slot and two queue places; a few more bodies may be in flight.
     expect(link.carriedBytes, outcomes.join()).to.be.lessThan(8 * 60_000);
   });
 });
--- a/test/proxy/relay/silent-connections.test.ts
+++ b/test/proxy/relay/silent-connections.test.ts
@@ -1,8 +1,8 @@
 /**
- * Connections between two nodes that go silent for good, without a reset, while new ones work.
+ * Connections between two nodes that become permanently unresponsive, without a reset, while new ones work.
  *
- * The datagrams between the two machines pass, so that neither is taken for silent: each request on the
- * silent connection would wait until its deadline, and each later one take the same connection.
+ * Datagrams between the two machines still arrive, so neither machine is considered unresponsive. Without detection,
+ * each request on the connection would wait until its deadline, and later requests would use the same connection.
  */
 import http from 'node:http';
 import { expect } from 'chai';
@@ -25,33 +25,33 @@
 import { openRelay, type RelaySender } from '../relay-sender.js';
 import { FaultyLink, type DropDirection } from './faulty-link.js';
 
-/** Silence after which what may be repeated is sent elsewhere, with room for a busy machine. */
+/** Time until repeatable requests are retried elsewhere, with a margin for a busy machine. */
 const RETRIED_WITHIN_MS = 1_000;
-/** Silence after which the other requests get their final answer, likewise: not before a slow one has it. */
+/** Time until other requests fail, with a margin; not before an answer on a slow connection would have arrived. */
 const FAILED_WITHIN_MS = LOSS_TIMEOUT_MS + 800;
-/** Silence after which the endpoint's node lets go of what a peer sent it, likewise. */
+/** Time until the endpoint's node releases the requests of the peer, with a margin for a busy machine. */
 const RELEASED_WITHIN_MS = LOSS_TIMEOUT_MS + 1_500;
-/** The same where the peer opens no new connection: its machine may only stand still. */
+/** The same if the peer opens no new connection: its machine may only be paused. */
 const RELEASED_UNCONFIRMED_WITHIN_MS = 6_500;
 const DEADLINE_MS = 8_000;
-/** Time for which no new connection works: longer than a connection is awaited without one. */
+/** Time for which no new connection works: longer than until a connection without a new one is lost. */
 const NO_NEW_CONNECTION_MS = LOSS_TIMEOUT_MS + 700;
-/** Time from a new connection that works to the end of what the silent one carried, with the same room. */
+/** Time from a working new connection until requests on the unresponsive one fail, with the same margin. */
 const FAILED_AFTER_RECONNECT_WITHIN_MS = MAX_PING_TIMEOUT_MS + 800;
-/** Before any look at the connection finds it quiet. */
+/** Short enough that no liveness check finds the connection idle yet. */
 const ABORT_AFTER_MS = 30;
 
 const DROP_DIRECTIONS: readonly DropDirection[] = ['both', 'towards', 'from'];
 
-describe('a connection between two nodes that goes silent', () => {
+describe('a connection between two nodes that becomes unresponsive', () => {
   const mesh = new TestMesh();
   let link: FaultyLink;
   let target: RawEndpoint;
   let caller: TestNode;
   let owner: TestNode;
-  /** Answers of the endpoint are held back while set. */
+  /** While set, answers of the endpoint are delayed. */
   let isAnswerDelayed = false;
-  /** Answers begin, and do not end, while set. */
+  /** While set, answers of the endpoint start but do not end. */
   let isStreamed = false;
   const delayedAnswers: (() => void)[] = [];
 
@@ -94,7 +94,7 @@
     return call(caller.callerPort, { method: kind === 'safe' ? 'GET' : 'POST' });
   }
 
-  /** A request that is at the endpoint when its connection goes silent, and the time to its answer. */
+  /** Drops the traffic of a connection while a request runs at the endpoint; measures the time to its answer. */
   async function interrupt(kind: 'safe' | 'unsafe', direction: DropDirection) {
     configure(kind);
     expect((await send(kind)).status).to.equal(200);
@@ -115,12 +115,12 @@
   }
 
   /**
-   * A node that stops takes no new connections, and the next process at its address does. While none worked, the
-   * silence was taken for a peer that may only stand still; when one worked again, nobody looked at the old
-   * connection any more, and what it carried was awaited to its deadline. In a soak, a connection to a node that
-   * was told to stop 2.8 s before was used for 6.3 s after it had fallen silent.
+   * A stopping node accepts no new connections until the next process at its address does. Without a working new
+   * connection the peer may only be paused. Guards against not checking the old connection again once a new one works:
+   * its requests then wait until their deadlines. In a soak run with that failure, a connection to a node that was told
+   * to stop 2.8 s before is used for 6.3 s after it becomes unresponsive.
    */
-  it('gives up what it carried soon after new connections work again', async () => {
+  it('fails its requests soon after new connections work again', async () => {
     configure('unsafe');
     expect((await send('unsafe')).status).to.equal(200);
     isAnswerDelayed = true;
@@ -137,12 +137,12 @@
     expect(performance.now() - reconnectedAtMs).to.be.below(FAILED_AFTER_RECONNECT_WITHIN_MS);
   }).timeout(2 * DEADLINE_MS);
 
-  it('loses no request that may be repeated, and serves later ones at once', async () => {
+  it('loses no repeatable request, and serves later ones immediately', async () => {
     for (const direction of DROP_DIRECTIONS) {
       const { result, responseMs } = await interrupt('safe', direction);
       expect(result, direction).to.include({ status: 200, body: 'ran' });
       expect(responseMs, direction).to.be.below(RETRIED_WITHIN_MS);
-      // Where answers still pass, it is this one that finds out.
+      // If answers still arrive, it is this request that detects the failure.
       const nextAtMs = performance.now();
       expect((await send('safe')).status, direction).to.equal(200);
       expect(performance.now() - nextAtMs, direction).to.be.below(RETRIED_WITHIN_MS);
@@ -153,7 +153,7 @@
     expect(link.openedCount).to.equal(1 + DROP_DIRECTIONS.length);
   });
 
-  it('ends what may have run long before its deadline, and runs it once', async () => {
+  it('fails requests that may have run long before their deadlines, and runs them once', async () => {
     for (const direction of ['both', 'from'] as const) {
       const { result, responseMs, runs } = await interrupt('unsafe', direction);
       expect(result.status, direction).to.equal(502);
@@ -182,7 +182,7 @@
     expect(performance.now() - silentFromMs).to.be.below(FAILED_WITHIN_MS);
   }
 
-  /** A request whose caller leaves before there is any answer. */
+  /** Sends a request whose caller disconnects before any answer. */
   async function sendAndAbort(): Promise<void> {
     const { callerPort: port } = caller;
     const request = http.request({ host: '127.0.0.1', port, method: 'POST', agent: false });
@@ -193,7 +193,7 @@
   }
 
   for (const direction of DROP_DIRECTIONS) {
-    it(`is found out by a request whose caller left, lost ${direction}, before the next one`, async () => {
+    it(`is detected by a request whose caller disconnected, dropping ${direction}, before the next one`, async () => {
       configure('unsafe');
       expect((await send('unsafe')).status).to.equal(200);
       link.dropTraffic(direction);
@@ -206,7 +206,7 @@
   }
 
   for (const pausedMs of [200, 600]) {
-    it(`is not seen in a peer that is held up for ${pausedMs} ms`, async () => {
+    it(`is not detected if the peer is paused for ${pausedMs} ms`, async () => {
       configure('safe');
       for (let round = 0; round < 3; round += 1) {
         isAnswerDelayed = true;
@@ -226,7 +226,7 @@
     });
   }
 
-  /** A peer whose connection goes silent with one request at the endpoint and one body under way. */
+  /** Drops the traffic of a peer with one request at the endpoint and one body in flight. */
   async function beginThenDropTraffic(): Promise<RelaySender> {
     configure('unsafe');
     const sender = await openSender();
@@ -253,7 +253,7 @@
     return performance.now() - silentFromMs;
   }
 
-  it('lets go of what a peer had begun to send, and of the slot that it took', async () => {
+  it('releases the partial body and the slot of its requests', async () => {
     const senders = [await beginThenDropTraffic()];
     const releaseMs = msUntilReleased();
     await new Promise((resolve) => setTimeout(resolve, 400));
@@ -262,7 +262,7 @@
     senders.forEach((sender) => sender.destroy());
   });
 
-  it('lets go later where the peer opens no new connection', async () => {
+  it('releases them later if the peer opens no new connection', async () => {
     const sender = await beginThenDropTraffic();
     const releaseMs = await msUntilReleased();
     expect(releaseMs).to.be.within(RELEASED_WITHIN_MS, RELEASED_UNCONFIRMED_WITHIN_MS);
--- a/test/proxy/relay/slow-connections.test.ts
+++ b/test/proxy/relay/slow-connections.test.ts
@@ -1,25 +1,25 @@
 /**
- * A connection between two nodes that is only slow looks like one that has gone silent for good: nothing
- * arrives on it, while a new one works at once.
+ * A connection between two nodes that is only slow looks like a permanently unresponsive one: nothing arrives on it
+ * while a new connection works immediately.
  *
- * Nodes ended attempts on that sign and counted on another attempt, and only then looked for one. Where it
- * reached nobody, or none was left, the caller was told 502 long before its deadline, though its endpoint
- * had been at work: the run was cut, 0.40 s and 0.87 s before the callers' nodes gave up. The nodes were
- * about to stop, but nothing of it depends on that.
+ * Guards against ending an attempt in that state before another one has succeeded. If the other attempt cannot
+ * connect, or none is left, the caller receives 502 long before its deadline although its endpoint is running the
+ * request: the run is cancelled, for example 0.40 s and 0.87 s before the callers' nodes gave up. The failure
+ * occurs whether or not the nodes are about to stop.
  */
 import { expect } from 'chai';
 import { call, closedPort, until, type TestNode } from '../rig.js';
 import { SlowMesh, type RequestKind } from './slow-mesh.js';
 
 const DEADLINE_MS = 6_000;
-/** Longer than a connection may say nothing until it is taken for silent. */
+/** Longer than until a connection is considered unresponsive. */
 const STALLED_MS = 900;
-/** Longer than one that is taken for silent was kept. */
+/** Long enough to detect that an unresponsive connection is closed too early. */
 const LONG_STALLED_MS = 1_900;
-/** An endpoint is at work for so long after its connection has stalled. */
+/** Time for which an endpoint keeps working after its connection stalls. */
 const WORK_MS = 150;
 
-describe('an attempt over a connection between nodes that is slow', () => {
+describe('an attempt over a slow connection between nodes', () => {
   let setup: SlowMesh;
   let caller: TestNode;
 
@@ -34,8 +34,8 @@
   }
 
   for (const isStopping of [false, true]) {
-    describe(isStopping ? 'to a node that stops' : 'to a node that goes on', () => {
-      /** A request that is at work at the first endpoint when its connection stalls. */
+    describe(isStopping ? 'to a stopping node' : 'to a running node', () => {
+      /** Stalls the connection of a request that is running at the first endpoint. */
       async function begin(kind: RequestKind, stalledMs: number, maxRetries: number) {
         caller = await setup.mesh.addNode('n1', { maxRetries, stopTimeoutMs: DEADLINE_MS });
         setup.configure(kind, DEADLINE_MS);
@@ -48,14 +48,14 @@
         return { answer, stopped };
       }
 
-      it('is waited for where no other attempt is left', async () => {
+      it('is awaited if no other attempt is left', async () => {
         const { answer, stopped } = await begin('safe', STALLED_MS, 0);
         expect(await answer).to.include({ status: 200, body: 'slow' });
         await stopped;
         expect(setup.slow.cancelled).to.deep.equal([]);
       });
 
-      it('is waited for when another attempt reaches nobody', async () => {
+      it('is awaited if another attempt cannot connect', async () => {
         await makeOtherNodeUnreachable();
         const { answer, stopped } = await begin('safe', STALLED_MS, 2);
         expect(await answer).to.include({ status: 200, body: 'slow' });
@@ -63,7 +63,7 @@
         expect(setup.slow.cancelled).to.deep.equal([]);
       });
 
-      it('is waited for by a request that may run only once', async () => {
+      it('is awaited if the request is not repeatable', async () => {
         const { answer, stopped } = await begin('unsafe', LONG_STALLED_MS, 2);
         expect(await answer).to.include({ status: 200, body: 'slow' });
         await stopped;
@@ -71,7 +71,7 @@
         expect(setup.other.heads).to.deep.equal([]);
       });
 
-      it('brings the answer when it comes before that of another attempt, which is cancelled', async () => {
+      it('provides the answer if it answers before another attempt, which is cancelled', async () => {
         const { answer, stopped } = await begin('safe', STALLED_MS, 2);
         await until(() => setup.other.heads.length === 1);
         expect(await answer).to.include({ status: 200, body: 'slow' });
@@ -91,7 +91,7 @@
     });
   }
 
-  it('is waited for when the peer itself seems silent and another attempt reaches nobody', async () => {
+  it('is awaited if the peer itself seems unresponsive and another attempt cannot connect', async () => {
     caller = await setup.mesh.addNode('n1', { maxRetries: 2 });
     setup.configure('safe', DEADLINE_MS);
     await makeOtherNodeUnreachable();
--- a/test/proxy/relay/slow-mesh.ts
+++ b/test/proxy/relay/slow-mesh.ts
@@ -1,4 +1,4 @@
-/** Two endpoints beside two nodes, the first one over a link that can be slow; the second is further away. */
+/** Two endpoints owned by two nodes: the first is behind a link that can be slow, the second is in another region. */
 import type { Socket } from 'node:net';
 import {
   echoEndpoint,
@@ -11,10 +11,10 @@
 } from '../rig.js';
 import { FaultyLink } from './faulty-link.js';
 
-/** Requests that may run more than once, and others. */
+/** Whether a request may run more than once. */
 export type RequestKind = 'safe' | 'unsafe';
 
-/** The mesh; requests wait at their endpoints until they are answered. */
+/** Requests wait at their endpoints until the test answers them. */
 export class SlowMesh {
   /** `slowSockets` and `otherSockets` are the connections of the requests at each endpoint. */
   private constructor(
@@ -47,7 +47,7 @@
     ]);
   }
 
-  /** Callers reach the relay port of the node beside the second endpoint there from now on. */
+  /** Changes the port at which other nodes reach the relay port of the second endpoint's node. */
   moveOtherNode(relayPort: number): void {
     this.mesh.nodes[1] = { ...this.otherNode, relayPort };
   }
--- a/test/proxy/relay/stop-with-backlog.test.ts
+++ b/test/proxy/relay/stop-with-backlog.test.ts
@@ -1,9 +1,9 @@
 /**
- * A node that stops while answers that it has sent on wait in its process for a connection that is slow.
+ * A node that stops while forwarded answers are queued in its process for a slow connection.
  *
- * Their requests are over for it, so the stop goes on to its end and closes its connections to peers; what
- * it had not handed to the system within 200 ms was lost with the process, though most of the time for its
- * stop was left.
+ * The requests have ended for the node, so the stop proceeds and closes its connections to peers. Guards against
+ * losing the data that was not written to the sockets within 200 ms when the process exits, although most of
+ * the stop timeout is left.
  */
 import { expect } from 'chai';
 import {
@@ -20,12 +20,12 @@
 import { FaultyLink } from './faulty-link.js';
 
 const STALLED_MS = 900;
-/** Together more than the system takes of a connection that nobody reads. */
-const REQUESTS = 200;
+/** Enough answers to exceed the socket buffers of a connection that is not read. */
+const REQUEST_COUNT = 200;
 const ANSWER_BYTES = 60_000;
 const DEADLINE_MS = 8_000;
 
-describe('a node that stops with answers on their way to a peer', () => {
+describe('a stopping node with answers in flight to a peer', () => {
   const mesh = new TestMesh();
   let link: FaultyLink;
   let target: RawEndpoint;
@@ -47,25 +47,25 @@
     target.close();
   });
 
-  it('sends them on a connection that is slow for a while', async () => {
+  it('delivers them over a temporarily slow connection', async () => {
     const caller = await mesh.addNode('n1', { maxRetries: 0 });
     mesh.configure([
       ...echoService({ timeoutMs: DEADLINE_MS, repeatable: false }),
       echoEndpoint('e1', target.port, {
         machine: 'n2',
-        slots: REQUESTS,
-        maxConnections: 2 * REQUESTS,
+        slots: REQUEST_COUNT,
+        maxConnections: 2 * REQUEST_COUNT,
       }),
     ]);
     const results = Promise.all(
-      Array.from({ length: REQUESTS }, () => call(caller.callerPort, { method: 'POST' })),
+      Array.from({ length: REQUEST_COUNT }, () => call(caller.callerPort, { method: 'POST' })),
     );
-    await until(() => answers.length === REQUESTS);
+    await until(() => answers.length === REQUEST_COUNT);
     link.stallConnections(STALLED_MS);
     answers.forEach((answerNow) => answerNow());
     await new Promise((resolve) => setTimeout(resolve, 100));
     await owner.proxy.stop();
     const complete = (await results).filter(({ body }) => body.length === ANSWER_BYTES);
-    expect(complete).to.have.length(REQUESTS);
+    expect(complete).to.have.length(REQUEST_COUNT);
   });
 });
--- a/test/proxy/relay/unreachable-link.ts
+++ b/test/proxy/relay/unreachable-link.ts
@@ -1,32 +1,31 @@
-/** A link towards one port that can go dark: open connections say nothing, new ones are not answered. */
+/** A link to one port that can become unreachable: open connections stall, new ones are not accepted. */
 import net, { type Socket } from 'node:net';
 import { Worker } from 'node:worker_threads';
 
 const HOST = '127.0.0.1';
-/** More connections than wait at a listener that takes none. */
-const FILLERS = 4;
-/** Time in which a connection is set up where it is answered. */
+/** Enough connections to fill the backlog of a listener that accepts none. */
+const FILLER_COUNT = 4;
+/** Time for a connection to be established if the listener responds. */
 const CONNECT_MS = 200;
 
-/** Runs in a thread of its own, which stands still while the link is dark. */
+/** Runs in a worker thread, which is blocked while the link is unreachable. */
 const PROXY = `
 const net = require('node:net');
 const { parentPort, workerData } = require('node:worker_threads');
-const server = net.createServer((near) => {
-  const far = net.connect(workerData.targetPort, '${HOST}');
-  for (const [from, to] of [[near, far], [far, near]]) {
+const server = net.createServer((client) => {
+  const upstream = net.connect(workerData.targetPort, '${HOST}');
+  for (const [from, to] of [[client, upstream], [upstream, client]]) {
     from.on('data', (bytes) => to.write(bytes));
     from.on('error', () => to.destroy());
     from.on('close', () => to.destroy());
   }
 });
 server.listen({ port: 0, host: '${HOST}', backlog: 1 }, () => parentPort.postMessage(server.address().port));
-parentPort.on('message', (darkMs) => {
-  Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, darkMs);
+parentPort.on('message', (blockedMs) => {
+  Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, blockedMs);
 });
 `;
 
-/** The link. */
 export class UnreachableLink {
   private readonly fillers: Socket[] = [];
 
@@ -41,11 +40,11 @@
     return new UnreachableLink(worker, port);
   }
 
-  /** Goes dark for so long; resolves once new connections are not answered any more. */
+  /** Makes the link unreachable for `blockedMs`; resolves once new connections are no longer accepted. */
   async block(blockedMs: number): Promise<void> {
     this.worker.postMessage(blockedMs);
     await new Promise((resolve) => setTimeout(resolve, CONNECT_MS));
-    for (let opened = 0; opened < FILLERS; opened += 1) {
+    for (let opened = 0; opened < FILLER_COUNT; opened += 1) {
       const filler = net.connect(this.port, HOST);
       filler.on('error', () => undefined);
       this.fillers.push(filler);
--- a/test/proxy/relay/upload-bodies.test.ts
+++ b/test/proxy/relay/upload-bodies.test.ts
@@ -1,18 +1,18 @@
 /**
- * Uploads and calls that go to the same machine.
+ * Uploads and calls to the same machine. Guards against uploads that fill its link and delay the calls.
  *
- * What happened: on a calm day callers of one service were told 500, for the calls that its endpoints
- * made to another service failed; under load half of them did. The endpoints that the calls went to had
- * free slots, their nodes' processors were idle.
+ * Failure: callers of one service receive 500 because the calls of its endpoints to another service fail: some of
+ * them at low load, half of them under load. The called endpoints have free slots, and the processors of their nodes
+ * are idle.
  *
- * Sequence: nodes sent uploads of 60 KB to the nodes beside these endpoints, each with the first frame,
- * before the endpoint's node had admitted it; what it refused was sent again in whole to the next one.
- * Seven such links of 7 Mbit/s were offered 5.3 Mbit/s before any upload was repeated. Calls, handshakes
- * and refusals queued behind the bodies: in the median 87 ms, in the worst tenth 955 ms, at calls with a
- * target latency of 232 ms and a deadline of 695 ms. Connections between nodes did not open in 300 ms.
+ * Sequence: uploads of 60 KB are sent with the first frame, before the endpoint's node has admitted them, and refused
+ * uploads are sent again in full to the next node. Seven links of 7 Mbit/s are offered 5.3 Mbit/s before any upload
+ * is repeated. Calls, handshakes and refusals queue behind the bodies: for 87 ms in the median and 955 ms in the
+ * worst tenth, with a target latency of 232 ms and a deadline of 695 ms. Connections between nodes do not open
+ * within 300 ms.
  *
- * Cause: bodies were pushed by their senders, each within a window of its own connection, and nobody
- * bounded what all of them together had on the way to one machine.
+ * Cause: senders push bodies within a window per connection, and the total number of bytes in flight to one machine is
+ * unbounded.
  */
 import { expect } from 'chai';
 import type { Endpoint } from '../../../src/model/resource.js';
@@ -74,7 +74,7 @@
     return endpoint;
   }
 
-  /** A peer of its own, over the narrow link. */
+  /** Adds a separate peer that connects over the narrow link. */
   function addPeer(name: string): RelayClient {
     const client = new RelayClient({
       connectTimeoutMs: 2_000,
@@ -109,27 +109,27 @@
     });
   }
 
-  it('do not send the body of what the endpoint’s node refuses', async () => {
+  it('do not send the body of a request that the endpoint’s node refuses', async () => {
     const endpoint = configure({ state: 'draining' });
     const outcome = await submit(addPeer('n1'), endpoint, Buffer.alloc(UPLOAD_BYTES));
     expect(outcome).to.have.property('verdict', 'not-run');
     expect(link.carriedBytes).to.be.lessThan(4_096);
   });
 
-  it('do not let the connection that they fill be taken for silent', async () => {
+  it('do not make the connection that they fill appear unresponsive', async () => {
     const endpoint = configure();
     const peers = Array.from({ length: 4 }, (_none, index) => addPeer(`p${index}`));
     const checkTimer = setInterval(() => peers.forEach((peer) => peer.checkLiveness()), 20);
     await Promise.all(peers.map((peer) => submit(peer, endpoint, undefined)));
     const body = Buffer.alloc(600_000, 'u');
-    const ends = await Promise.all(peers.map((peer) => submit(peer, endpoint, body)));
+    const results = await Promise.all(peers.map((peer) => submit(peer, endpoint, body)));
     clearInterval(checkTimer);
-    expect(ends.every((answer) => 'body' in answer && answer.status === 200)).to.equal(true);
+    expect(results.every((answer) => 'body' in answer && answer.status === 200)).to.equal(true);
     expect(unresponsiveConnections).to.deep.equal([]);
     expect(openedCount).to.equal(peers.length);
   });
 
-  it('leave room on a narrow link for calls that come while many of them are under way', async () => {
+  it('leave capacity on a narrow link for calls while many uploads are in flight', async () => {
     const endpoint = configure();
     const peers = Array.from({ length: 10 }, (_none, index) => addPeer(`p${index}`));
     await Promise.all(peers.map((peer) => submit(peer, endpoint, undefined)));
@@ -141,8 +141,8 @@
     const responseMs = performance.now() - sentAtMs;
     expect(answers.map((answer) => 'status' in answer && answer.status)).to.not.include(false);
     expect(responseMs).to.be.lessThan(CALL_TARGET_MS);
-    const ends = await Promise.all(uploads);
-    expect(ends.every((answer) => 'body' in answer && answer.status === 200)).to.equal(true);
+    const results = await Promise.all(uploads);
+    expect(results.every((answer) => 'body' in answer && answer.status === 200)).to.equal(true);
     expect(target.received.filter((text) => text.endsWith(body.toString()))).to.have.length(10);
   });
 });
