--- a/src/proxy/proxy-limits.ts
+++ b/src/proxy/proxy-limits.ts
@@ -4,7 +4,7 @@
 import { DEFAULT_MAX_SAVED_RETRIES } from '../routing/retry-budget.js';
 import type { CancelLead } from './gated-call.js';
 import { DEFAULT_IDLE_CONNECTION_MS } from './http-exchange.js';
-import { MAX_BUFFERED_BODY_BYTES } from './relay/buffered-body.js';
+import { MAX_BUFFERED_BODY_BYTES } from './relay/collected-body.js';
 import type { StopLimits } from './stop-times.js';
 
 /** Bounds that an operator may set. */
--- a/src/proxy/relay/credit-pool.ts
+++ b/src/proxy/relay/credit-pool.ts
@@ -6,7 +6,7 @@
 import type { BodyArrival } from '../../admission/endpoint-admission.js';
 import type { CancelTimer, Scheduler } from '../scheduler.js';
 import { ArrivalRate } from './arrival-rate.js';
-import { isBuffered } from './buffered-body.js';
+import { isBuffered } from './collected-body.js';
 
 /**
  * Maximum number of body bytes in flight to a node. Enough to keep a 7 Mbit/s link busy, which transfers it in
--- a/src/proxy/relay/relay-connection.ts
+++ b/src/proxy/relay/relay-connection.ts
@@ -7,7 +7,7 @@
 import { FrameError } from '../../wire/frame-error.js';
 import { FrameReader } from '../../wire/frame-reader.js';
 import type { CancelTimer, Scheduler } from '../scheduler.js';
-import type { ConnectionLiveness } from './connection-liveness.js';
+import type { ConnectionLiveness } from './link-pulse.js';
 import {
   decodeRelayFrame,
   encodeRelayFrame,
@@ -41,7 +41,7 @@
 export interface ConnectionWatch {
   readonly liveness: ConnectionLiveness;
   readonly scheduler: Scheduler;
-  /** Called once for each step; see {@link ./connection-liveness.ts}. */
+  /** Called once for each step; see {@link ./link-pulse.ts}. */
   readonly onLivenessStep: (step: 'suspect' | 'silent' | 'lost', quietMs: number) => void;
 }
 
--- a/src/proxy/relay/relay-link.ts
+++ b/src/proxy/relay/relay-link.ts
@@ -4,7 +4,7 @@
 import type { Endpoint } from '../../model/resource.js';
 import type { Attempt, AttemptObserver, Call } from '../call.js';
 import type { Scheduler } from '../scheduler.js';
-import { ConnectionLiveness, LOSS_TIMEOUT_MS, type LivenessLimits } from './connection-liveness.js';
+import { ConnectionLiveness, LOSS_TIMEOUT_MS, type LivenessLimits } from './link-pulse.js';
 import { RelayConnection } from './relay-connection.js';
 import type { StreamFrame } from './relay-frame.js';
 import { RELAY_PROTOCOL, RELAY_TOKEN_HEADER } from './relay-protocol.js';
--- a/src/proxy/relay/relay-server.ts
+++ b/src/proxy/relay/relay-server.ts
@@ -10,7 +10,7 @@
 import { NodeStoppingError, UnknownEndpointError } from '../request-error.js';
 import type { RequestLog } from '../request-log.js';
 import type { CancelTimer, Scheduler } from '../scheduler.js';
-import { ConnectionLiveness, LOSS_TIMEOUT_MS, type LivenessLimits } from './connection-liveness.js';
+import { ConnectionLiveness, LOSS_TIMEOUT_MS, type LivenessLimits } from './link-pulse.js';
 import { RelayConnection } from './relay-connection.js';
 import type { RequestFrame, StreamFrame } from './relay-frame.js';
 import { RELAY_PROTOCOL, RELAY_TOKEN_HEADER } from './relay-protocol.js';
--- a/src/proxy/relay/relayed-attempt.ts
+++ b/src/proxy/relay/relayed-attempt.ts
@@ -12,7 +12,7 @@
   type RequestError,
 } from '../request-error.js';
 import type { Scheduler } from '../scheduler.js';
-import { isBuffered } from './buffered-body.js';
+import { isBuffered } from './collected-body.js';
 import { RelayBodyReader, RelayBodyWriter } from './relay-body.js';
 import type { AnswerFrame, BodyForm, FailureFrame, StreamFrame } from './relay-frame.js';
 import { loadOf } from './relay-load.js';
--- a/src/proxy/relay/relayed-request.ts
+++ b/src/proxy/relay/relayed-request.ts
@@ -10,7 +10,7 @@
 import { rankInTime } from '../../admission/work-rank.js';
 import { stopFailure } from '../stop-failure.js';
 import type { CancelTimer, Scheduler } from '../scheduler.js';
-import { bufferBody, isBuffered } from './buffered-body.js';
+import { bufferBody, isBuffered } from './collected-body.js';
 import type { BodyCredit, CreditPool } from './credit-pool.js';
 import { FrameSink } from './frame-sink.js';
 import { RelayBodyReader } from './relay-body.js';
--- a/test/proxy/relay/doubtful-attempts.test.ts
+++ b/test/proxy/relay/doubtful-attempts.test.ts
@@ -10,7 +10,7 @@
 import http from 'node:http';
 import type { Socket } from 'node:net';
 import { expect } from 'chai';
-import { LOSS_TIMEOUT_MS } from '../../../src/proxy/relay/connection-liveness.js';
+import { LOSS_TIMEOUT_MS } from '../../../src/proxy/relay/link-pulse.js';
 import { call, echoEndpoint, echoService, until, type TestNode } from '../rig.js';
 import { UnreachableLink } from './unreachable-link.js';
 import { SlowMesh } from './slow-mesh.js';
--- a/test/proxy/relay/connection-liveness.test.ts
+++ b/test/proxy/relay/link-pulse.test.ts
@@ -8,7 +8,7 @@
   ONE_WAY_PING_TIMEOUT_MS,
   CONFIRMATION_GRACE_MS,
   type LivenessStep,
-} from '../../../src/proxy/relay/connection-liveness.js';
+} from '../../../src/proxy/relay/link-pulse.js';
 
 const QUIET_MS = 100;
 const STEP_MS = 10;
--- a/test/proxy/relay/relay-connection.test.ts
+++ b/test/proxy/relay/relay-connection.test.ts
@@ -7,7 +7,7 @@
   RelayBodyReader,
   RelayBodyWriter,
 } from '../../../src/proxy/relay/relay-body.js';
-import { ConnectionLiveness } from '../../../src/proxy/relay/connection-liveness.js';
+import { ConnectionLiveness } from '../../../src/proxy/relay/link-pulse.js';
 import { RelayConnection } from '../../../src/proxy/relay/relay-connection.js';
 import {
   decodeRelayFrame,
--- a/test/proxy/relay/silent-connections.test.ts
+++ b/test/proxy/relay/silent-connections.test.ts
@@ -18,10 +18,7 @@
   type RawEndpoint,
   type TestNode,
 } from '../rig.js';
-import {
-  LOSS_TIMEOUT_MS,
-  MAX_PING_TIMEOUT_MS,
-} from '../../../src/proxy/relay/connection-liveness.js';
+import { LOSS_TIMEOUT_MS, MAX_PING_TIMEOUT_MS } from '../../../src/proxy/relay/link-pulse.js';
 import { openRelay, type RelaySender } from '../relay-sender.js';
 import { FaultyLink, type DropDirection } from './faulty-link.js';
 
--- a/tools/experiment/call-plan.ts
+++ b/tools/experiment/call-plan.ts
@@ -3,7 +3,7 @@
  * their calls are. Both variants of a pair get the same plan, whatever they do with it.
  */
 import type { RandomSource } from '../../src/control/control-event.js';
-import { MAX_BUFFERED_BODY_BYTES } from '../../src/proxy/relay/buffered-body.js';
+import { MAX_BUFFERED_BODY_BYTES } from '../../src/proxy/relay/collected-body.js';
 import { seededRandom } from '../emulator/seeded-random.js';
 import type { Fault, RequestClass, Scenario } from './scenario.js';
 
