--- a/src/proxy/proxy-limits.ts
+++ b/src/proxy/proxy-limits.ts
@@ -4,7 +4,7 @@
 import { DEFAULT_MAX_SAVED_RETRIES } from '../routing/retry-budget.js';
 import type { CancelLead } from './gated-call.js';
 import { DEFAULT_IDLE_CONNECTION_MS } from './http-exchange.js';
-import { MAX_COLLECTED_BODY_BYTES } from './relay/collected-body.js';
+import { MAX_BUFFERED_BODY_BYTES } from './relay/collected-body.js';
 import type { StopLimits } from './stop-times.js';
 
 /** Limits that an operator can set. */
@@ -80,7 +80,7 @@
   // A body that another node buffers completely is buffered here first. It is then sent at the pace
   // of that node instead of a slow caller's, and a caller that disconnects is detected: a
   // connection whose request body is left unread is not read at all.
-  maxReplayBodyBytes: MAX_COLLECTED_BODY_BYTES,
+  maxReplayBodyBytes: MAX_BUFFERED_BODY_BYTES,
   maxHeldBytes: 32 * 1024 * 1024,
   maxHeldAnswerBytes: 16 * 1024,
   maxQueuedPerEndpoint: 64,
--- a/src/proxy/relay/relay-body.ts
+++ b/src/proxy/relay/relay-body.ts
@@ -1,36 +1,36 @@
 /**
- * Bodies that cross a relay connection in parts, each with a window of its own. An answer's window is
- * open from the start; a request's opens when its receiver gives credit.
+ * Bodies transferred in frames over a relay connection, each with its own flow-control window. The window of an
+ * answer is open from the start; that of a request opens when the receiver grants credit.
  */
 import { Readable, Writable } from 'node:stream';
 
-/** Bytes of one body that may be on their way or unread at the receiver. */
+/** Maximum number of bytes of one body that are in flight or unread at the receiver. */
 export const BODY_WINDOW_BYTES = 64 * 1024;
-/** Bytes of one frame of a body at most: others get their turn in between. */
-const MAX_PART_BYTES = 16 * 1024;
-/** Bytes that are read before the sender is told that there is room. */
-const CREDIT_STEP_BYTES = 16 * 1024;
+/** Maximum body bytes per frame, so that frames of other streams can be interleaved. */
+const MAX_FRAME_BYTES = 16 * 1024;
+/** Number of bytes that are read before credit is returned to the sender. */
+const MIN_CREDIT_BYTES = 16 * 1024;
 
-/** Sends one part of a body. */
+/** Sends one part of a body as a frame. */
 export type SendPart = (bytes: Buffer, isLast: boolean) => void;
 
-/** The sending end. */
+/** Sending end of a body. */
 export class RelayBodyWriter extends Writable {
-  private waiting: (() => void) | undefined;
+  private resumeWrite: (() => void) | undefined;
 
-  /** `windowBytes` may be sent before the receiver gives credit. */
+  /** `windowBytes` may be sent before the receiver grants credit. */
   constructor(
     private readonly sendPart: SendPart,
     private windowBytes = BODY_WINDOW_BYTES,
   ) {
-    super({ highWaterMark: MAX_PART_BYTES });
+    super({ highWaterMark: MAX_FRAME_BYTES });
   }
 
-  /** The receiver has room for more. */
+  /** Extends the window by credit from the receiver. */
   addCredit(bytes: number): void {
     this.windowBytes += bytes;
-    const resume = this.waiting;
-    this.waiting = undefined;
+    const resume = this.resumeWrite;
+    this.resumeWrite = undefined;
     resume?.();
   }
 
@@ -44,55 +44,55 @@
   }
 
   private sendParts(chunk: Buffer, done: () => void): void {
-    let rest = chunk;
-    while (rest.length > 0 && this.windowBytes > 0) {
-      const part = rest.subarray(0, Math.min(MAX_PART_BYTES, this.windowBytes));
+    let remaining = chunk;
+    while (remaining.length > 0 && this.windowBytes > 0) {
+      const part = remaining.subarray(0, Math.min(MAX_FRAME_BYTES, this.windowBytes));
       this.sendPart(part, false);
       this.windowBytes -= part.length;
-      rest = rest.subarray(part.length);
+      remaining = remaining.subarray(part.length);
     }
-    if (rest.length === 0) {
+    if (remaining.length === 0) {
       done();
     } else {
-      this.waiting = () => this.sendParts(rest, done);
+      this.resumeWrite = () => this.sendParts(remaining, done);
     }
   }
 }
 
-/** The receiving end. */
+/** Receiving end of a body. */
 export class RelayBodyReader extends Readable {
-  private unreportedBytes = 0;
+  private uncreditedBytes = 0;
   private windowBytes = BODY_WINDOW_BYTES;
   private isEnded = false;
 
   /**
-   * `sendCredit` tells the sender that there is room for so many bytes more; with `isOpen` false, also for
-   * the first ones, once somebody reads.
+   * `sendCredit` grants the sender credit. With `isWindowOpen` false, the initial window is granted only once the
+   * body is being read.
    */
   constructor(
     private readonly sendCredit: (bytes: number) => void,
-    private isOpen = true,
+    private isWindowOpen = true,
   ) {
     super({ highWaterMark: BODY_WINDOW_BYTES });
   }
 
-  /** Whether the body arrived in full. */
+  /** Whether the whole body was received. */
   get complete(): boolean {
     return this.isEnded;
   }
 
-  /** Lets the sender have so many bytes more on their way, or unread here. */
-  widen(bytes: number): void {
+  /** Allows `bytes` more to be in flight or unread. */
+  extendWindow(bytes: number): void {
     if (!this.isEnded && !this.destroyed) {
       this.windowBytes += bytes;
       this.sendCredit(bytes);
     }
   }
 
-  /** Takes a part that arrived. A sender that goes beyond its window breaks the body off. */
+  /** Handles a received part. The body is aborted if the sender exceeds its window. */
   receive(bytes: Buffer, isLast: boolean): void {
-    this.unreportedBytes += bytes.length;
-    if (this.unreportedBytes > this.windowBytes) {
+    this.uncreditedBytes += bytes.length;
+    if (this.uncreditedBytes > this.windowBytes) {
       this.destroy();
       return;
     }
@@ -105,16 +105,16 @@
     }
   }
 
-  /** Called whenever there is room here again. */
+  /** Called whenever the read buffer has capacity. */
   override _read(): void {
-    if (!this.isOpen) {
-      this.isOpen = true;
+    if (!this.isWindowOpen) {
+      this.isWindowOpen = true;
       this.sendCredit(BODY_WINDOW_BYTES);
       return;
     }
-    if (this.unreportedBytes >= CREDIT_STEP_BYTES && !this.isEnded) {
-      this.sendCredit(this.unreportedBytes);
-      this.unreportedBytes = 0;
+    if (this.uncreditedBytes >= MIN_CREDIT_BYTES && !this.isEnded) {
+      this.sendCredit(this.uncreditedBytes);
+      this.uncreditedBytes = 0;
     }
   }
 }
--- a/src/proxy/relay/relayed-request.ts
+++ b/src/proxy/relay/relayed-request.ts
@@ -1,4 +1,4 @@
-/** One request of a peer at the node that owns the endpoint. */
+/** One request from a peer, at the node that owns the endpoint. */
 import type { BodyArrival } from '../../admission/endpoint-admission.js';
 import type { Endpoint } from '../../model/resource.js';
 import { passAnswer } from '../answer-relay.js';
@@ -10,39 +10,39 @@
 import { onTimeRank } from '../../admission/work-rank.js';
 import { stopFailure } from '../stop-failure.js';
 import type { CancelTimer, Scheduler } from '../scheduler.js';
-import { collectBody, isCollected } from './collected-body.js';
+import { bufferBody, isBuffered } from './collected-body.js';
 import type { BodyCredit, CreditPool } from './credit-pool.js';
 import { FrameSink } from './frame-sink.js';
 import { RelayBodyReader } from './relay-body.js';
 import type { RequestFrame, StreamFrame } from './relay-frame.js';
-import { frameLoadOf, NO_LOAD } from './relay-load.js';
+import { frameLoadOf, UNKNOWN_LOAD } from './relay-load.js';
 import type { RequestLink } from './request-link.js';
 
-/** How long a collected request waits for a slot at least, in milliseconds: the work of one upload. */
-const COLLECTED_WAIT_MS = 250;
+/** Minimum time a buffered request waits for a slot, in milliseconds: the service time of one upload. */
+const MIN_SLOT_WAIT_MS = 250;
 
-/** The endpoints of this node. */
+/** Endpoints owned by this node. */
 export interface OwnedEndpoints extends EndpointPath {
-  /** Keeps a place for a request whose body is to come; the error when there is none. */
+  /** Reserves capacity for a request whose body is yet to arrive; returns an error if there is none. */
   reserve(endpoint: Endpoint, call: Call, arrival: BodyArrival): RequestError | undefined;
-  /** Gives a place up that was kept for a request which is not submitted. */
+  /** Releases the reservation of a request that is not submitted. */
   unreserve(endpoint: Endpoint, call: Call): void;
   load(endpoint: Endpoint, workClass: string): LoadReport;
 }
 
-/** The request. */
+/** A request received over a relay connection. */
 export class RelayedRequest implements AttemptObserver {
   readonly body: RequestBody;
   private readonly reader: RelayBodyReader | undefined;
   private readonly credit: BodyCredit | undefined;
   private readonly streamId: number;
-  private cancelCollecting: CancelTimer | undefined;
+  private cancelBodyTimeout: CancelTimer | undefined;
   private unreserve: () => void = () => undefined;
   private readonly requestId: string;
   private readonly arrivedAtMs: number;
   private attempt: Attempt | undefined;
   private sink: FrameSink | undefined;
-  private isOver = false;
+  private isEnded = false;
 
   constructor(
     frame: RequestFrame,
@@ -56,18 +56,18 @@
     this.arrivedAtMs = scheduler.now();
     if (isStreamed(frame)) {
       this.credit = this.openCredit(frame);
-      this.reader = new RelayBodyReader((bytes) => this.credit?.want(bytes), false);
+      this.reader = new RelayBodyReader((bytes) => this.credit?.addDemand(bytes), false);
     }
     this.body = bodyOf(frame, this.reader, maxBodyBytes);
   }
 
   /**
-   * Gives the request to its endpoint. One whose body is collected is refused by its head where that is
-   * possible, and takes a slot only once its body is here.
+   * Submits the request to its endpoint. A request with a buffered body is refused based on its head if possible,
+   * and takes a slot only once its body is complete.
    */
   start(endpoints: OwnedEndpoints, endpoint: Endpoint, call: Call): void {
     const { reader, credit } = this;
-    if (reader === undefined || credit === undefined || !isCollected(this.body.length)) {
+    if (reader === undefined || credit === undefined || !isBuffered(this.body.length)) {
       this.submit(endpoints, endpoint, call);
       return;
     }
@@ -77,35 +77,38 @@
       return;
     }
     this.unreserve = () => endpoints.unreserve(endpoint, call);
-    this.refuseUnlessCollected(call, () => endpoints.load(endpoint, call.workClass));
-    collectBody(reader, (body) => {
-      this.cancelCollecting?.();
-      if (!this.isOver) {
-        this.submit(endpoints, endpoint, collectedCall(call, body, this.scheduler.now()));
+    this.scheduleBodyTimeout(call, () => endpoints.load(endpoint, call.workClass));
+    bufferBody(reader, (body) => {
+      this.cancelBodyTimeout?.();
+      if (!this.isEnded) {
+        this.submit(endpoints, endpoint, bufferedCall(call, body, this.scheduler.now()));
       }
     });
   }
 
   private submit(path: EndpointPath, endpoint: Endpoint, call: Call): void {
     const attempt = path.submit(endpoint, call, this);
-    if (!this.isOver) {
+    if (!this.isEnded) {
       this.attempt = attempt;
     }
   }
 
-  /** The refusal has to reach the caller's node before the deadline, which tells that it has not run. */
-  private refuseUnlessCollected({ deadlineAtMs }: Call, load: () => LoadReport): void {
-    const leftMs = deadlineAtMs - this.scheduler.now();
-    this.cancelCollecting = this.scheduler.schedule(leftMs - refusalLeadMs(leftMs), () => {
-      this.failed(new DeadlinePassedError('the body did not arrive in time'), load());
-    });
+  /** The refusal, which tells that the request has not run, must reach the caller's node before the deadline. */
+  private scheduleBodyTimeout({ deadlineAtMs }: Call, load: () => LoadReport): void {
+    const remainingMs = deadlineAtMs - this.scheduler.now();
+    this.cancelBodyTimeout = this.scheduler.schedule(
+      remainingMs - refusalLeadMs(remainingMs),
+      () => {
+        this.failed(new DeadlinePassedError('the body did not arrive in time'), load());
+      },
+    );
   }
 
-  /** Takes a frame of the sender. */
-  take(frame: StreamFrame): void {
+  /** Handles a frame from the sender. */
+  handleFrame(frame: StreamFrame): void {
     switch (frame.kind) {
       case 'body':
-        return this.takeBody(frame.bytes, frame.isLast);
+        return this.handleBody(frame.bytes, frame.isLast);
       case 'credit':
         return this.sink?.addCredit(frame.creditBytes);
       case 'cancel':
@@ -116,9 +119,9 @@
     }
   }
 
-  /** Nobody waits for the answer any more; told in the log where the endpoint may be at work. */
+  /** The answer is no longer awaited; logged if the endpoint may already be running the request. */
   abandon(cause: AbandonCause, log: RequestLog): void {
-    if (!this.isOver) {
+    if (!this.isEnded) {
       if (this.attempt?.isUnsent() === false) {
         log.record({
           event: 'attempt-abandoned',
@@ -133,9 +136,12 @@
     }
   }
 
-  /** The node stops: the peer is told what is known. False when the answer has begun to go out. */
+  /**
+   * Reports a failure to the peer because the node stops. Returns false if the request has ended or its answer has
+   * started.
+   */
   giveUp(log: RequestLog): boolean {
-    if (this.isOver || this.sink?.headersSent === true) {
+    if (this.isEnded || this.sink?.headersSent === true) {
       return false;
     }
     const isUnsent = this.attempt === undefined || this.attempt.isUnsent();
@@ -145,7 +151,7 @@
       request: this.requestId,
       code: error.code,
       verdict: error.verdict,
-      waitedFor: this.awaitedThing(isUnsent),
+      waitedFor: this.awaitedResource(isUnsent),
       elapsedMs: Math.round(this.scheduler.now() - this.arrivedAtMs),
     });
     this.failed(error);
@@ -154,7 +160,7 @@
     return true;
   }
 
-  private awaitedThing(isUnsent: boolean): AwaitedResource {
+  private awaitedResource(isUnsent: boolean): AwaitedResource {
     if (!this.body.isComplete()) {
       return 'body';
     }
@@ -162,7 +168,7 @@
   }
 
   answered(answer: Answer): void {
-    if (this.isOver) {
+    if (this.isEnded) {
       return;
     }
     const load = answer.load && this.withBodyTime(answer.load);
@@ -177,14 +183,14 @@
         whole: () => sink.whenSent(() => this.end()),
         broken: (wasPassedOn) => {
           sink.destroy();
-          this.breakAnswer(wasPassedOn, answer.load);
+          this.abortAnswer(wasPassedOn, answer.load);
         },
       },
     );
   }
 
   failed(error: RequestError, load?: LoadReport): void {
-    if (this.isOver) {
+    if (this.isEnded) {
       return;
     }
     this.end();
@@ -197,28 +203,28 @@
       isRetryable: error.retryable,
       retryAfterMs: error.retryAfterMs === undefined ? undefined : Math.ceil(error.retryAfterMs),
       ...frameLoadOf(
-        load === undefined ? NO_LOAD : this.withBodyTime(load),
+        load === undefined ? UNKNOWN_LOAD : this.withBodyTime(load),
         this.link.isStopping(),
       ),
     });
   }
 
   /**
-   * What callers are told an endpoint takes includes the time that bodies take on the link to its machine:
-   * by the endpoint's own time alone, the quickest one got 1.5 times as many uploads as its link carries.
+   * Adds the body transfer time over the link to the endpoint's machine to the reported service time. With the
+   * endpoint's own service time alone, the fastest endpoint received 1.5 times as many uploads as its link can carry.
    */
   private withBodyTime(load: LoadReport): LoadReport {
     const { serviceMs } = load;
-    const isCollected = this.credit !== undefined;
-    return isCollected && serviceMs !== undefined
+    const hasStreamedBody = this.credit !== undefined;
+    return hasStreamedBody && serviceMs !== undefined
       ? { ...load, serviceMs: serviceMs + this.credits.meanBodyMs }
       : load;
   }
 
-  private breakAnswer(wasPassedOn: boolean, load: LoadReport | undefined): void {
+  private abortAnswer(wasPassedOn: boolean, load: LoadReport | undefined): void {
     if (!wasPassedOn) {
-      this.failed(new TruncatedAnswerError('the answer broke off'), load);
-    } else if (!this.isOver) {
+      this.failed(new TruncatedAnswerError('the answer was truncated'), load);
+    } else if (!this.isEnded) {
       this.end();
       this.link.send({ kind: 'cancel', streamId: this.streamId });
     }
@@ -234,8 +240,8 @@
     });
   }
 
-  private takeBody(bytes: Buffer, isLast: boolean): void {
-    this.credit?.arrived(bytes.length);
+  private handleBody(bytes: Buffer, isLast: boolean): void {
+    this.credit?.recordArrival(bytes.length);
     if (isLast) {
       this.credit?.close();
     }
@@ -243,32 +249,33 @@
   }
 
   private end(): void {
-    if (!this.isOver) {
-      this.isOver = true;
-      this.cancelCollecting?.();
+    if (!this.isEnded) {
+      this.isEnded = true;
+      this.cancelBodyTimeout?.();
       this.unreserve();
       this.credit?.close();
       if (this.reader?.complete === false) {
         this.reader.destroy();
       }
-      this.link.over();
+      this.link.ended();
     }
   }
 }
 
 /**
- * A body that is here is not sent to another endpoint for want of a slot: that would carry it over a link
- * again. It waits for one until its target has passed, and then still takes one that comes free soon.
+ * Extends the slot wait of a request whose body has been received: sending it to another endpoint for lack of a
+ * slot would transfer the body over a link again. The request waits until its target time, and at least
+ * {@link MIN_SLOT_WAIT_MS}.
  */
-export function collectedCall(
+export function bufferedCall(
   { targetAtMs, ...call }: Call,
   body: RequestBody,
   nowMs: number,
 ): Call {
-  const waitsUntilMs = targetAtMs ?? call.startByMs;
-  return waitsUntilMs === undefined
+  const waitUntilMs = targetAtMs ?? call.startByMs;
+  return waitUntilMs === undefined
     ? { ...call, body }
-    : { ...call, body, startByMs: Math.max(waitsUntilMs, nowMs + COLLECTED_WAIT_MS) };
+    : { ...call, body, startByMs: Math.max(waitUntilMs, nowMs + MIN_SLOT_WAIT_MS) };
 }
 
 function isStreamed({ bodyForm }: RequestFrame): boolean {
--- a/src/proxy/request-proxy.ts
+++ b/src/proxy/request-proxy.ts
@@ -21,7 +21,7 @@
 import { PauseDetector } from './pause-detector.js';
 import { DEFAULT_PROXY_LIMITS, type ProxyLimits } from './proxy-limits.js';
 import { RelayClient } from './relay/relay-client.js';
-import type { LinkSilence } from './relay/relay-link.js';
+import type { UnresponsiveConnection } from './relay/relay-link.js';
 import { RELAY_CLOSE_TIMEOUT_MS, RelayServer } from './relay/relay-server.js';
 import { RelayTokenIssuer, verifyRelayToken } from './relay/relay-token.js';
 import { NO_REQUEST_LOG } from './request-log.js';
@@ -191,7 +191,7 @@
   machineUnresponsive(machineId: string): void {
     const address = this.options.members.relayAddress(machineId);
     if (address !== undefined) {
-      this.relayClient.forget(address);
+      this.relayClient.retireConnection(address);
     }
     this.services.awaited.machineIsSilent(machineId);
   }
@@ -262,12 +262,15 @@
 
   private tick(): void {
     this.pauseDetector.tick(MACHINE_TIME.now());
-    this.relayClient.look();
-    this.relay.look();
+    this.relayClient.checkLiveness();
+    this.relay.checkLiveness();
     this.gateway.look();
   }
 
-  private reportUnresponsiveRelay(where: string, { awaitedCount, quietMs }: LinkSilence): void {
+  private reportUnresponsiveRelay(
+    where: string,
+    { awaitedCount, quietMs }: UnresponsiveConnection,
+  ): void {
     this.options.counters.add('ferryspool_relay_silent_total');
     const detail = `${where}: ${awaitedCount} requests, no data received for ${Math.round(quietMs)} ms`;
     this.options.logStateChange('relay-silent', detail);
@@ -287,7 +290,7 @@
           this.options.logStateChange('relay-not-connected', detail);
         }
       },
-      onSilence: ({ address }, connection) =>
+      onUnresponsive: ({ address }, connection) =>
         this.reportUnresponsiveRelay(`to ${address}`, connection),
       isListed: (endpoint) => this.isListed(endpoint),
       addressOf: ({ spec }) =>
@@ -343,8 +346,9 @@
       refusesNewWork: () => this.plannedStop.refusesNewWork(MACHINE_TIME.now()),
       deadlineWithin: (deadlineAtMs) => this.plannedStop.deadlineWithin(deadlineAtMs),
       requestLog: this.options.requestLog ?? NO_REQUEST_LOG,
-      onSilence: (from, connection) => this.reportUnresponsiveRelay(`from ${from}`, connection),
-      began: () => this.meter.begin(),
+      onUnresponsive: (from, connection) =>
+        this.reportUnresponsiveRelay(`from ${from}`, connection),
+      trackRequest: () => this.meter.begin(),
       onTravelLostMs: this.options.onTravelLostMs,
       onBodyMs: this.options.onBodyMs,
     });
--- a/test/proxy/relay/credit-pool-limits.test.ts
+++ b/test/proxy/relay/credit-pool-limits.test.ts
@@ -1,12 +1,11 @@
 /**
- * Where the credit of a node for bodies does not hold what it says.
+ * Guards against three failures of the credit pool:
  *
- * - A pace that was measured while the link was narrow, or the process paused, is kept for good: every
- *   upload is then refused by its head for the time that it is expected to take, no body comes, and so
- *   the pace is never measured again.
- * - On a link that takes longer than 150 ms for the pool every sender counts as stalled, and its credit is
- *   given to the next: what is under way grows with the number of bodies.
- * - A long body keeps the whole pool to itself until it is over.
+ * - A rate measured while the link was slow or the process paused is kept forever: every upload is then refused
+ *   based on its head because of its expected transfer time, no body arrives, and the rate is never measured again.
+ * - On a link that needs more than 150 ms to transfer the pool, every sender is considered stalled and its credit is
+ *   granted to the next one, so that the bytes in flight grow with the number of bodies.
+ * - A long body occupies the whole pool until it ends.
  */
 import { expect } from 'chai';
 import { CreditPool, POOL_BYTES, type BodyCredit } from '../../../src/proxy/relay/credit-pool.js';
@@ -16,12 +15,12 @@
 const UPLOAD_BYTES = 60_000;
 const FRAME_BYTES = 16 * 1024;
 
-/** A clock and one link into the node, which carries frames in the order of their credit. */
+/** A virtual clock and one link to the node that transfers frames in the order of their grants. */
 class Link implements Scheduler {
   readonly pool = new CreditPool(this);
-  /** Bytes that were granted and have not arrived, now and at most. */
-  underWayBytes = 0;
-  mostUnderWayBytes = 0;
+  /** Bytes granted but not yet received: current and maximum. */
+  inFlightBytes = 0;
+  maxInFlightBytes = 0;
   private readonly clock = new VirtualScheduler();
   private freeAtMs = 0;
   private pausedMs = 0;
@@ -45,24 +44,24 @@
     this.clock.runUntil(this.clock.nowMs + ms);
   }
 
-  /** The process does not run: what was due comes late, and at once. */
+  /** Pauses the process: timers that were due fire late and all at once. */
   pause(ms: number): void {
     this.pausedMs += ms;
   }
 
-  /** A body whose sender uses all credit at once; its receiver reads at once. */
+  /** Opens a body whose sender uses all credit immediately and whose receiver reads immediately. */
   upload(lengthBytes: number, rank = 0): Body {
     const body = new Body(this, lengthBytes, rank);
-    body.credit.want(64 * 1024);
+    body.credit.addDemand(64 * 1024);
     return body;
   }
 
   carry(bytes: number, arrived: () => void): void {
-    this.underWayBytes += bytes;
-    this.mostUnderWayBytes = Math.max(this.mostUnderWayBytes, this.underWayBytes);
+    this.inFlightBytes += bytes;
+    this.maxInFlightBytes = Math.max(this.maxInFlightBytes, this.inFlightBytes);
     this.freeAtMs = Math.max(this.freeAtMs, this.now()) + bytes / this.bytesPerMs;
     this.schedule(this.freeAtMs - this.now(), () => {
-      this.underWayBytes -= bytes;
+      this.inFlightBytes -= bytes;
       arrived();
     });
   }
@@ -79,12 +78,12 @@
       lengthBytes,
       grant: (bytes) => {
         this.grantedBytes += bytes;
-        for (let left = bytes; left > 0; left -= FRAME_BYTES) {
-          const part = Math.min(left, FRAME_BYTES);
+        for (let remaining = bytes; remaining > 0; remaining -= FRAME_BYTES) {
+          const part = Math.min(remaining, FRAME_BYTES);
           link.carry(part, () => {
             this.arrivedBytes += part;
-            this.credit.want(part);
-            this.credit.arrived(part);
+            this.credit.addDemand(part);
+            this.credit.recordArrival(part);
             if (this.arrivedBytes === lengthBytes) {
               this.credit.close();
             }
@@ -95,8 +94,8 @@
   }
 }
 
-describe('the credit of a node for bodies, at its limits', () => {
-  /** What becomes of one upload a second that has 2 s left and is refused by its head if they do not do. */
+describe('CreditPool under adverse conditions', () => {
+  /** Submits one upload per second; each is refused based on its head if it is expected to take more than 2 s. */
   function outcomesOf(link: Link, count: number): Set<string> {
     const outcomes = new Set<string>();
     for (let second = 0; second < count; second += 1) {
@@ -111,32 +110,32 @@
     return outcomes;
   }
 
-  it('takes uploads again once a link that was narrow for a while is wide', () => {
+  it('accepts uploads again after a slow link becomes fast', () => {
     const link = new Link(20);
     Array.from({ length: 60 }, () => link.upload(UPLOAD_BYTES));
     link.advance(300_000);
-    expect(link.underWayBytes).to.equal(0);
+    expect(link.inFlightBytes).to.equal(0);
     link.bytesPerMs = 875;
     expect([...outcomesOf(link, 60)]).to.include('taken');
   });
 
-  it('takes uploads again after a pause of the process', () => {
+  it('accepts uploads again after a pause of the process', () => {
     const link = new Link(875);
     Array.from({ length: 10 }, () => link.upload(UPLOAD_BYTES));
     link.pause(5_000);
     link.advance(10_000);
-    expect(link.underWayBytes).to.equal(0);
+    expect(link.inFlightBytes).to.equal(0);
     expect([...outcomesOf(link, 60)]).to.include('taken');
   });
 
-  it('has no more than the pool under way on a link of 1 Mbit/s', () => {
+  it('bounds the bytes in flight on a 1 Mbit/s link', () => {
     const link = new Link(125);
     Array.from({ length: 60 }, () => link.upload(UPLOAD_BYTES));
     link.advance(5_000);
-    expect(link.mostUnderWayBytes).to.be.at.most(2 * POOL_BYTES);
+    expect(link.maxInFlightBytes).to.be.at.most(2 * POOL_BYTES);
   });
 
-  it('lets a short body pass while a long one of its rank is under way', () => {
+  it('lets a short body complete while a long one of the same rank is in progress', () => {
     const link = new Link(875);
     const long = link.upload(20_000_000);
     link.advance(100);
--- a/test/proxy/relay/credit-pool.test.ts
+++ b/test/proxy/relay/credit-pool.test.ts
@@ -1,10 +1,10 @@
-/** The credit that a node gives to the senders of bodies. */
+/** Tests of the flow-control credit that a node grants to the senders of bodies. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { CreditPool, POOL_BYTES, type BodyCredit } from '../../../src/proxy/relay/credit-pool.js';
 import type { Scheduler } from '../../../src/proxy/scheduler.js';
 
-/** A clock that is moved by hand. */
+/** A clock that is advanced manually. */
 class ManualTime implements Scheduler {
   private nowMs = 0;
   private timers: { readonly atMs: number; readonly action: () => void }[] = [];
@@ -29,7 +29,7 @@
   }
 }
 
-/** A sender that uses its credit when told to. */
+/** A sender that uses its credit only when `send` is called. */
 class Sender {
   credit: BodyCredit | undefined;
   grantedBytes = 0;
@@ -48,20 +48,20 @@
         this.grantedBytes += bytes;
       },
     });
-    this.credit.want(64 * 1024);
+    this.credit.addDemand(64 * 1024);
   }
 
-  get underWayBytes(): number {
+  get inFlightBytes(): number {
     return this.grantedBytes - this.sentBytes;
   }
 
-  /** Sends what it may, up to `bytes`, and ends the body with its last byte. */
+  /** Sends as much as its credit allows, up to `bytes`, and closes the body after its last byte. */
   send(bytes = Infinity): void {
-    const sent = Math.min(bytes, this.underWayBytes, this.lengthBytes - this.sentBytes);
+    const sent = Math.min(bytes, this.inFlightBytes, this.lengthBytes - this.sentBytes);
     this.sentBytes += sent;
     if (sent > 0) {
-      this.credit?.want(sent);
-      this.credit?.arrived(sent);
+      this.credit?.addDemand(sent);
+      this.credit?.recordArrival(sent);
     }
     if (this.sentBytes === this.lengthBytes) {
       this.credit?.close();
@@ -69,22 +69,22 @@
   }
 }
 
-describe('the credit of a node for bodies', () => {
-  /** Carries bodies to their ends, by senders that `pick` takes from; calls `look` before each step. */
+describe('CreditPool', () => {
+  /** Transfers all bodies completely; `pick` selects the next sender, `inspect` is called before each step. */
   function carry(
     bodies: readonly [number, number][],
     choices: Iterator<number>,
     pick: (ready: readonly Sender[], choice: number) => Sender | undefined,
-    look: (underWayBytes: number) => void,
+    inspect: (inFlightBytes: number) => void,
   ): void {
     const time = new ManualTime();
     const pool = new CreditPool(time);
     const senders = bodies.map(([lengthBytes, rank]) => new Sender(pool, lengthBytes, rank));
     const isOpen = ({ sentBytes, lengthBytes }: Sender): boolean => sentBytes < lengthBytes;
     for (let open = senders; open.length > 0; open = senders.filter(isOpen)) {
-      look(senders.reduce((sum, sender) => sum + sender.underWayBytes, 0));
+      inspect(senders.reduce((sum, sender) => sum + sender.inFlightBytes, 0));
       const choice = Number(choices.next().value);
-      const ready = open.filter(({ underWayBytes }) => underWayBytes > 0);
+      const ready = open.filter(({ inFlightBytes }) => inFlightBytes > 0);
       pick(ready, choice)?.send(1 + (choice % 20_000));
       time.advance(1);
     }
@@ -96,40 +96,40 @@
   });
   const anyChoices = fc.infiniteStream(fc.nat({ max: 1_000_000 }));
 
-  it('is never more than the pool for all of them, and carries each to its end', () => {
+  it('never grants more than the pool in total, and completes every body', () => {
     fc.assert(
       fc.property(anyBodies, anyChoices, (bodies, choices) => {
-        const waited = new Map<Sender, number>();
+        const lastServedStep = new Map<Sender, number>();
         let step = 0;
-        const longestWaiting = (ready: readonly Sender[]): Sender | undefined => {
+        const leastRecentlyServed = (ready: readonly Sender[]): Sender | undefined => {
           step += 1;
           const [first] = [...ready].sort(
-            (left, right) => (waited.get(left) ?? 0) - (waited.get(right) ?? 0),
+            (left, right) => (lastServedStep.get(left) ?? 0) - (lastServedStep.get(right) ?? 0),
           );
-          return first && waited.set(first, step) && first;
+          return first && lastServedStep.set(first, step) && first;
         };
-        carry(bodies, choices, longestWaiting, (underWayBytes) => {
-          expect(underWayBytes).to.be.within(1, POOL_BYTES);
+        carry(bodies, choices, leastRecentlyServed, (inFlightBytes) => {
+          expect(inFlightBytes).to.be.within(1, POOL_BYTES);
         });
       }),
       { numRuns: 100 },
     );
   });
 
-  it('is one grant more at most for each that others overtake, and carries each to its end', () => {
+  it('exceeds the pool by at most one grant per overtaken sender, and completes every body', () => {
     fc.assert(
       fc.property(anyBodies, anyChoices, (bodies, choices) => {
         const anyOf = (ready: readonly Sender[], choice: number): Sender | undefined =>
           ready[choice % ready.length];
-        carry(bodies, choices, anyOf, (underWayBytes) => {
-          expect(underWayBytes).to.be.within(1, POOL_BYTES + bodies.length * 16_384);
+        carry(bodies, choices, anyOf, (inFlightBytes) => {
+          expect(inFlightBytes).to.be.within(1, POOL_BYTES + bodies.length * 16_384);
         });
       }),
       { numRuns: 100 },
     );
   });
 
-  it('goes to the urgent before the others, and within a rank to one body after the other', () => {
+  it('grants credit by rank, and in order within a rank', () => {
     const pool = new CreditPool(new ManualTime());
     const [first, second, third] = [60_000, 60_000, 60_000].map(
       (lengthBytes) => new Sender(pool, lengthBytes, 1),
@@ -146,7 +146,7 @@
     expect(granted()).to.deep.equal([32_768, 16_384, 16_384, 32_768]);
   });
 
-  it('passes on what a sender leaves unused, and bears many that send nothing', () => {
+  it('reassigns unused credit, even if many senders send nothing', () => {
     const time = new ManualTime();
     const pool = new CreditPool(time);
     const silent = Array.from({ length: 20 }, () => new Sender(pool, 60_000));
@@ -156,11 +156,11 @@
       ready.send();
     }
     expect(ready.sentBytes).to.equal(ready.lengthBytes);
-    const waiting = silent.map(({ underWayBytes }) => underWayBytes);
+    const waiting = silent.map(({ inFlightBytes }) => inFlightBytes);
     expect(Math.max(...waiting)).to.be.at.most(POOL_BYTES);
   });
 
-  it('takes a sender back that others had overtaken once', () => {
+  it('restores full credit to a sender that was overtaken', () => {
     const time = new ManualTime();
     const pool = new CreditPool(time);
     const slow = new Sender(pool, 250_000);
@@ -170,13 +170,13 @@
     }
     slow.send();
     quick.send();
-    expect(slow.underWayBytes).to.equal(16_384);
+    expect(slow.inFlightBytes).to.equal(16_384);
     slow.send();
     quick.send();
-    expect(slow.underWayBytes).to.equal(POOL_BYTES);
+    expect(slow.inFlightBytes).to.equal(POOL_BYTES);
   });
 
-  it('tells how long a body will take behind those that wait, once it has seen them arrive', () => {
+  it('estimates the arrival of a body behind waiting ones once a rate is measured', () => {
     const time = new ManualTime();
     const pool = new CreditPool(time);
     const lengthBytes = 65_536;
@@ -184,27 +184,27 @@
     expect(senders[9]?.credit?.expectedArrival()).to.deep.equal({ beginsAtMs: 0, endsAtMs: 0 });
     for (let step = 0; step < 25; step += 1) {
       time.advance(10);
-      senders.find(({ underWayBytes }) => underWayBytes > 0)?.send(8_192);
+      senders.find(({ inFlightBytes }) => inFlightBytes > 0)?.send(8_192);
     }
-    const owedBytes = 11 * lengthBytes - 25 * 8_192;
+    const remainingBytes = 11 * lengthBytes - 25 * 8_192;
     const last = new Sender(pool, lengthBytes);
     const { beginsAtMs = 0, endsAtMs = 0 } = last.credit?.expectedArrival() ?? {};
-    expect(endsAtMs - time.now()).to.be.closeTo(owedBytes / 819.2, 60);
-    const sooner = owedBytes - lengthBytes - POOL_BYTES;
-    expect(beginsAtMs - time.now()).to.be.closeTo(sooner / 819.2, 60);
+    expect(endsAtMs - time.now()).to.be.closeTo(remainingBytes / 819.2, 60);
+    const aheadBytes = remainingBytes - lengthBytes - POOL_BYTES;
+    expect(beginsAtMs - time.now()).to.be.closeTo(aheadBytes / 819.2, 60);
     const urgent = new Sender(pool, 8_192, -1);
     expect(urgent.credit?.expectedArrival().endsAtMs).to.equal(time.now());
     const second = new Sender(pool, 8_192, -1);
     expect((second.credit?.expectedArrival().endsAtMs ?? 0) - time.now()).to.be.closeTo(20, 5);
   });
 
-  it('tells the mean time of whole bodies; one that was given up does not count', () => {
+  it('reports the mean transfer time of completed bodies, without abandoned ones', () => {
     const time = new ManualTime();
     const pool = new CreditPool(time);
     expect(pool.meanBodyMs).to.equal(0);
-    const whole = new Sender(pool, 4_096);
+    const completed = new Sender(pool, 4_096);
     time.advance(20);
-    whole.send();
+    completed.send();
     new Sender(pool, 4_096).credit?.close();
     expect(pool.meanBodyMs).to.equal(20);
   });
--- a/test/proxy/relay/relay-frame.test.ts
+++ b/test/proxy/relay/relay-frame.test.ts
@@ -1,4 +1,4 @@
-/** Frames of the relay protocol: what is encoded is decoded alike, and nothing else is taken. */
+/** Tests of encoding and decoding relay frames, including malformed ones. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import {
@@ -12,7 +12,7 @@
 const count = fc.nat();
 const shortText = fc.string({ maxLength: 60 });
 const bytes = fc.uint8Array({ maxLength: 200 }).map((list) => Buffer.from(list));
-const leftMs = fc.option(fc.integer({ min: -1e6, max: 1e6 }), { nil: undefined });
+const optionalMs = fc.option(fc.integer({ min: -1e6, max: 1e6 }), { nil: undefined });
 const headers = fc.array(fc.stringMatching(/^[a-zA-Z0-9-]{1,12}$/), { minLength: 2, maxLength: 8 });
 const load = {
   inFlight: count,
@@ -38,8 +38,8 @@
     retriesLeft: count,
     priority: count,
     workClass: shortText,
-    targetLeftMs: leftMs,
-    startLeftMs: leftMs,
+    targetLeftMs: optionalMs,
+    startLeftMs: optionalMs,
     bodyForm: fc.constantFrom(
       'none' as const,
       'held' as const,
@@ -79,17 +79,17 @@
   fc.record({ kind: fc.constant('cancel' as const), streamId: count }),
   fc.record({
     kind: fc.constantFrom('ping' as const, 'acknowledgement' as const),
-    askedAtMs: count,
+    pingSentAtMs: count,
   }),
 );
 
-/** The frame without absent fields. */
+/** The frame without undefined fields. */
 function defined(frame: RelayFrame): unknown {
   return Object.fromEntries(Object.entries(frame).filter(([, value]) => value !== undefined));
 }
 
 describe('relay frames', () => {
-  it('are decoded as they were encoded', () => {
+  it('round-trip through encoding and decoding', () => {
     fc.assert(
       fc.property(frames, (frame) => {
         const encoded = encodeRelayFrame(frame);
@@ -104,7 +104,7 @@
     );
   });
 
-  it('have no room for a request id of over 256 bytes', () => {
+  it('reject a request ID longer than 256 bytes', () => {
     const [request] = fc.sample(
       frames.filter(({ kind }) => kind === 'request'),
       { numRuns: 1, seed: 1 },
@@ -115,7 +115,7 @@
     expect(() => encodeRelayFrame(withId(257))).to.throw(FrameError);
   });
 
-  it('are refused when they end too early or are of no known kind', () => {
+  it('are rejected if they are truncated or of an unknown kind', () => {
     fc.assert(
       fc.property(frames, fc.nat({ max: 400 }), (frame, cut) => {
         const body = encodeRelayFrame(frame).subarray(LENGTH_PREFIX_BYTES);
