--- a/src/proxy/answer-collection.ts
+++ b/src/proxy/answer-collection.ts
@@ -1,56 +1,56 @@
 /**
- * Reads answers to their ends while a node stops, whatever their callers take. What comes behind a large answer on a
- * connection waits for it in the node's memory and would end with the process, and each further window of a body
- * takes a turn of this process and one of the peer's.
+ * Buffers answers in full while a node shuts down, regardless of how fast callers read them. Requests behind a large
+ * answer on the same connection wait in the node's memory and would be lost when the process exits, and each further
+ * flow-control window of a body costs one event-loop turn in this process and one in the peer's.
  */
 
-/** Room for an answer that declares no length, in bytes. */
-const UNDECLARED_BYTES = 512 * 1024;
+/** Memory reserved for an answer without a declared length. */
+const CHUNKED_ANSWER_RESERVATION_BYTES = 512 * 1024;
 
-/** Reads a body without waiting for its receiver; `mostBytes` may be held of it. */
-export type CollectBody = (mostBytes: number) => void;
+/** Starts reading a body without backpressure from its receiver; up to `maxBytes` of it may be buffered. */
+export type StartBuffering = (maxBytes: number) => void;
 
-/** A body that is passed on at the pace of its receiver. */
-interface PacedBody {
+/** A body that is forwarded at the receiver's pace. */
+interface StreamingBody {
   readonly contentLength: number | undefined;
-  readonly collect: CollectBody;
+  readonly startBuffering: StartBuffering;
 }
 
-/** The answers of one node. */
-export class AnswerCollection {
-  private isCollecting = false;
-  private readonly paced = new Set<PacedBody>();
+/** The memory budget of one node for answers that are buffered during its shutdown. */
+export class ShutdownBuffering {
+  private isActive = false;
+  private readonly streamingBodies = new Set<StreamingBody>();
 
-  /** `roomBytes` may be held of all answers together; no room is given back. */
-  constructor(private roomBytes: number) {}
+  /** `availableBytes` bounds all buffered answers together; reservations are never released. */
+  constructor(private availableBytes: number) {}
 
-  /** The node stops: from now on answers are read to their ends, those under way among them. */
+  /** Starts the shutdown: buffers the answers in progress and all later ones. */
   begin(): void {
-    this.isCollecting = true;
-    const bodies = [...this.paced];
-    this.paced.clear();
-    for (const { contentLength, collect } of bodies) {
-      const mostBytes = this.takeRoom(contentLength);
-      if (mostBytes > 0) {
-        collect(mostBytes);
+    this.isActive = true;
+    const bodies = [...this.streamingBodies];
+    this.streamingBodies.clear();
+    for (const { contentLength, startBuffering } of bodies) {
+      const reservedBytes = this.reserve(contentLength);
+      if (reservedBytes > 0) {
+        startBuffering(reservedBytes);
       }
     }
   }
 
-  /** Bytes that may be held of a new answer; 0 where it goes at the pace of its receiver. */
-  takeRoom(contentLength: number | undefined): number {
-    const mostBytes = contentLength ?? UNDECLARED_BYTES;
-    if (!this.isCollecting || mostBytes > this.roomBytes) {
+  /** Reserves memory for a new answer; returns 0 if the answer must be forwarded at its receiver's pace. */
+  reserve(contentLength: number | undefined): number {
+    const neededBytes = contentLength ?? CHUNKED_ANSWER_RESERVATION_BYTES;
+    if (!this.isActive || neededBytes > this.availableBytes) {
       return 0;
     }
-    this.roomBytes -= mostBytes;
-    return mostBytes;
+    this.availableBytes -= neededBytes;
+    return neededBytes;
   }
 
-  /** Calls `collect` once the node stops; returns what ends that. */
-  watch(contentLength: number | undefined, collect: CollectBody): () => void {
-    const body = { contentLength, collect };
-    this.paced.add(body);
-    return () => this.paced.delete(body);
+  /** Calls `startBuffering` when the shutdown begins, if memory is available. Returns an unregister function. */
+  register(contentLength: number | undefined, startBuffering: StartBuffering): () => void {
+    const body = { contentLength, startBuffering };
+    this.streamingBodies.add(body);
+    return () => this.streamingBodies.delete(body);
   }
 }
--- a/src/proxy/attempt-call.ts
+++ b/src/proxy/attempt-call.ts
@@ -1,22 +1,22 @@
-/** What an attempt sends on. Pure. */
+/** Builds the call that an attempt sends to its endpoint. Pure. */
 import type { Call } from './call.js';
 import type { RequestBody } from './request-body.js';
 import type { RequestContext } from './request-context.js';
 import { workOf } from './request-work.js';
 
-/** One attempt that begins. Moments are on the node's clock, in milliseconds. */
+/** The start of one attempt. Times are on the node's clock, in milliseconds. */
 export interface AttemptStart {
   /** Counts from 1. */
   readonly attempt: number;
-  /** Attempts after the first that the receivers of this attempt may make among them. */
+  /** Retries that the receivers of this attempt may make in total. */
   readonly retriesLeft: number;
-  /** When the request began. */
+  /** When the request started. */
   readonly startedAtMs: number;
   readonly attemptStartedAtMs: number;
   readonly isLate: boolean;
 }
 
-/** The call that takes the attempt to its endpoint. */
+/** The call that is sent to the attempt's endpoint. */
 export function callOf(context: RequestContext, body: RequestBody, start: AttemptStart): Call {
   const { method, target, headers, attemptPrefix, deadlineAtMs, services, match } = context;
   const { attempt, retriesLeft, startedAtMs, attemptStartedAtMs, isLate } = start;
--- a/src/proxy/attempt-errors.ts
+++ b/src/proxy/attempt-errors.ts
@@ -1,4 +1,4 @@
-/** Errors for what admission and endpoints did with a request. */
+/** Maps refusals by admission and failures of attempts to errors. */
 import type { RefusalReason } from '../admission/endpoint-admission.js';
 import type { AttemptOutcome } from '../routing/endpoint-record.js';
 import type { AttemptReport } from './endpoint-attempt.js';
@@ -20,10 +20,10 @@
   type RequestError,
 } from './request-error.js';
 
-/** When to come back after a refusal that does not say, in milliseconds. */
+/** Retry delay after a refusal that names none, in milliseconds. */
 export const DEFAULT_RETRY_AFTER_MS = 1_000;
 
-/** The error for what is known of a dispatched request; refusals apart. */
+/** The error for the failure of a dispatched request, other than a refusal. */
 export function attemptError(
   report: Exclude<AttemptReport, 'refused'>,
   name: string,
@@ -36,19 +36,21 @@
     case 'cancelled':
       return new CancelledError('the deadline passed; the endpoint cancelled the request');
     case 'lost-before-start':
-      return new LostBeforeStartError(`endpoint ${name} had not started the request`);
+      return new LostBeforeStartError(
+        `the connection to endpoint ${name} was lost before the endpoint started the request`,
+      );
     case 'timed-out':
       return new TimedOutError(`endpoint ${name} did not answer before the deadline`);
     case 'ended':
-      return new EndpointEndedError(`endpoint ${name} ended while it ran the request`);
+      return new EndpointEndedError(`endpoint ${name} exited while running the request`);
     case 'lost':
       return new ConnectionLostError(`the connection to endpoint ${name} was lost`);
     case 'malformed':
-      return new MalformedAnswerError(`the answer of endpoint ${name} is malformed`);
+      return new MalformedAnswerError(`endpoint ${name} sent a malformed answer`);
   }
 }
 
-/** The error for a refusal by the endpoint itself, before the start. */
+/** The error for a refusal by the endpoint itself, before it started the request. */
 export function endpointRefusedError(
   name: string,
   draining: boolean,
@@ -56,7 +58,7 @@
 ): RequestError {
   return draining
     ? new EndpointDrainingError(`endpoint ${name} is draining`, retryAfterMs)
-    : new EndpointRefusedError(`endpoint ${name} refused`, retryAfterMs);
+    : new EndpointRefusedError(`endpoint ${name} refused the request`, retryAfterMs);
 }
 
 /** The error for a refusal by admission. */
@@ -65,9 +67,12 @@
     case 'queue-full':
       return new OverloadedError('the queue of the endpoint is full', retryAfterMs);
     case 'cannot-finish-in-time':
-      return new CannotFinishInTimeError('the deadline is too near', retryAfterMs);
+      return new CannotFinishInTimeError('the request cannot finish in time', retryAfterMs);
     case 'deadline-passed':
-      return new DeadlinePassedError('the deadline passed while the request waited', retryAfterMs);
+      return new DeadlinePassedError(
+        'the deadline passed while the request was queued',
+        retryAfterMs,
+      );
     case 'draining':
       return new EndpointDrainingError('the endpoint is draining', retryAfterMs);
     case 'evacuated':
@@ -75,12 +80,12 @@
   }
 }
 
-/** The refusal of a request under which endpoints ended. */
+/** The error for a request that is refused because endpoint processes exited while running it. */
 export function containedError(retryAfterMs: number): RequestError {
-  return new ContainedError('endpoints ended while they ran this request', retryAfterMs);
+  return new ContainedError('endpoint processes exited while running this request', retryAfterMs);
 }
 
-/** What a failed attempt says of its endpoint. */
+/** How a failed attempt counts in the record of its endpoint. */
 export function outcomeOf(error: RequestError): AttemptOutcome {
   if (error.code === 'ENDPOINT_GONE' || error.code === 'ENDPOINT_ENDED') {
     return 'gone';
--- a/src/proxy/attempted-endpoint.ts
+++ b/src/proxy/attempted-endpoint.ts
@@ -1,4 +1,4 @@
-/** The endpoint of a request's attempt under way, and what later choices learn of it from the attempt. */
+/** Tracks the endpoint of a request's current attempt and records its results for later endpoint selection. */
 import { incarnationOf } from '../model/incarnation.js';
 import type { Endpoint } from '../model/resource.js';
 import type { AttemptOutcome } from '../routing/endpoint-record.js';
@@ -8,48 +8,47 @@
 import type { RequestError } from './request-error.js';
 import { refusalClassOf } from './request-work.js';
 
-/** The endpoints of one request, one after the other. Without an attempt under way nothing is learnt. */
+/** The endpoints of one request's successive attempts. Results are recorded only while an attempt is in progress. */
 export class AttemptedEndpoint {
   private endpoint: Endpoint | undefined;
-  private beganAtMs = 0;
+  private attemptStartedAtMs = 0;
 
   constructor(private readonly context: RequestContext) {}
 
-  /** The endpoint's name; undefined when no attempt is under way. */
+  /** The endpoint's name; undefined when no attempt is in progress. */
   get name(): string | undefined {
     return this.endpoint?.name;
   }
 
-  /** The endpoint's incarnation; undefined when no attempt is under way. */
+  /** The endpoint's incarnation; undefined when no attempt is in progress. */
   get incarnation(): string | undefined {
     return this.endpoint && incarnationOf(this.endpoint);
   }
 
-  /** When the latest attempt began, on the node's clock. */
+  /** When the latest attempt started, on the node's clock. */
   get startedAtMs(): number {
-    return this.beganAtMs;
+    return this.attemptStartedAtMs;
   }
 
-  /** An attempt begins. */
-  began(endpoint: Endpoint): void {
+  attemptStarted(endpoint: Endpoint): void {
     const { selector, scheduler } = this.context.services;
     this.endpoint = endpoint;
-    this.beganAtMs = scheduler.now();
-    selector.began(endpoint, this.beganAtMs);
+    this.attemptStartedAtMs = scheduler.now();
+    selector.began(endpoint, this.attemptStartedAtMs);
   }
 
-  /** The time until now counts as the endpoint's latency. */
-  measureLatency(isLate: boolean): void {
+  /** Records the time since the attempt started as the endpoint's latency. */
+  recordLatency(isLate: boolean): void {
     const { services } = this.context;
     const nowMs = services.scheduler.now();
-    // Late work waits behind all other: its time says nothing of what work in time would take.
+    // Late work is queued behind all other work, so its latency does not predict that of work in time.
     if (this.endpoint !== undefined && !isLate) {
-      const latencyMs = nowMs - this.beganAtMs;
+      const latencyMs = nowMs - this.attemptStartedAtMs;
       services.selector.measured(this.endpoint, this.workClass, latencyMs, nowMs);
     }
   }
 
-  /** An answer or a refusal told of the endpoint's load. */
+  /** Records the load that an answer or a refusal reported. */
   observeLoad(load: LoadReport | undefined, error: RequestError | undefined): void {
     const { selector, scheduler } = this.context.services;
     const observation = loadObservationOf(load, error, this.workClass);
@@ -58,8 +57,8 @@
     }
   }
 
-  /** The endpoint's node has no room for such work. */
-  refused({ retryAfterMs = 0 }: RequestError, isLate: boolean): void {
+  /** Records that the endpoint's node has no capacity for this class of work. */
+  workRefused({ retryAfterMs = 0 }: RequestError, isLate: boolean): void {
     if (this.endpoint !== undefined) {
       const { services, match } = this.context;
       const refusalClass = refusalClassOf(match.route, isLate);
@@ -68,8 +67,7 @@
     }
   }
 
-  /** The attempt is over. */
-  ended(outcome: AttemptOutcome): void {
+  attemptEnded(outcome: AttemptOutcome): void {
     const { services, snapshot, match } = this.context;
     if (this.endpoint !== undefined) {
       const peers = services.endpointsOf(snapshot, match.service);
--- a/src/proxy/awaited-attempts.ts
+++ b/src/proxy/awaited-attempts.ts
@@ -1,29 +1,29 @@
-/** Attempts whose answers a node awaits from its peers, by the peer's machine. */
+/** Attempts for which a node awaits answers from its peers, grouped by the peer's machine. */
 
-/** One such attempt. */
+/** An attempt that awaits an answer from a peer. */
 export interface AwaitedAttempt {
-  /** Nothing is heard of the peer: the attempt may be given up. */
-  peerIsSilent(): void;
+  /** The peer is unresponsive: the attempt may be abandoned. */
+  peerUnresponsive(): void;
 }
 
-/** A peer that owes answers. */
+/** A peer from which answers are awaited. */
 export interface AwaitedMachine {
   readonly machineId: string;
-  /** When the oldest attempt began, on the node's clock. */
+  /** When the oldest attempt started, on the node's clock. */
   readonly sinceMs: number;
 }
 
-/** The attempts of one node. */
+/** The awaited attempts of one node. */
 export class AwaitedAttempts {
   private readonly attemptsOf = new Map<string, Map<AwaitedAttempt, number>>();
 
-  began(machineId: string, attempt: AwaitedAttempt, nowMs: number): void {
+  add(machineId: string, attempt: AwaitedAttempt, nowMs: number): void {
     const attempts = this.attemptsOf.get(machineId) ?? new Map<AwaitedAttempt, number>();
     attempts.set(attempt, nowMs);
     this.attemptsOf.set(machineId, attempts);
   }
 
-  ended(machineId: string, attempt: AwaitedAttempt): void {
+  remove(machineId: string, attempt: AwaitedAttempt): void {
     const attempts = this.attemptsOf.get(machineId);
     attempts?.delete(attempt);
     if (attempts?.size === 0) {
@@ -31,7 +31,7 @@
     }
   }
 
-  /** The machines that owe answers. */
+  /** The machines from which answers are awaited. */
   *machines(): IterableIterator<AwaitedMachine> {
     for (const [machineId, attempts] of this.attemptsOf) {
       const [sinceMs = Infinity] = attempts.values();
@@ -39,10 +39,10 @@
     }
   }
 
-  /** Nothing is heard of the machine. */
-  machineIsSilent(machineId: string): void {
+  /** Reports to all attempts that await the machine that it is unresponsive. */
+  machineUnresponsive(machineId: string): void {
     for (const attempt of [...(this.attemptsOf.get(machineId)?.keys() ?? [])]) {
-      attempt.peerIsSilent();
+      attempt.peerUnresponsive();
     }
   }
 }
--- a/src/proxy/awaited-peer.ts
+++ b/src/proxy/awaited-peer.ts
@@ -1,11 +1,11 @@
-/** The peer whose node owes the answer of a request's attempt under way. */
+/** The peer from which a request's current attempt awaits its answer. */
 import type { Endpoint } from '../model/resource.js';
 import type { AwaitedAttempt } from './awaited-attempts.js';
 import type { RequestServices } from './request-services.js';
 
-/** Who owes the answer of one request, from one attempt to the next. */
+/** The awaited peer of one request, across its successive attempts. */
 export class AwaitedPeer {
-  /** The machine whose node owes the answer; undefined when no peer does. */
+  /** The machine of the awaited peer; undefined when no peer is awaited. */
   private machineId: string | undefined;
 
   constructor(
@@ -13,31 +13,29 @@
     private readonly attempt: AwaitedAttempt,
   ) {}
 
-  /** Whether a peer owes the answer. */
   get isAwaited(): boolean {
     return this.machineId !== undefined;
   }
 
-  /** An attempt begins: its answer comes over the node beside the endpoint, if that is another one. */
-  awaitFor(endpoint: Endpoint, nowMs: number): void {
+  /** Starts to await the node on the endpoint's machine, unless that is this node. */
+  startAwaiting(endpoint: Endpoint, nowMs: number): void {
     this.machineId = this.services.relayMachineOf(endpoint);
     if (this.machineId !== undefined) {
-      this.services.awaited.began(this.machineId, this.attempt, nowMs);
+      this.services.awaited.add(this.machineId, this.attempt, nowMs);
     }
   }
 
-  /** The peer answered, if only with a refusal. */
-  hasAnswered(): void {
+  /** The peer answered, possibly with a refusal. */
+  answerReceived(): void {
     if (this.machineId !== undefined) {
       this.services.heard(this.machineId);
     }
-    this.stop();
+    this.stopAwaiting();
   }
 
-  /** Nothing is awaited any more. */
-  stop(): void {
+  stopAwaiting(): void {
     if (this.machineId !== undefined) {
-      this.services.awaited.ended(this.machineId, this.attempt);
+      this.services.awaited.remove(this.machineId, this.attempt);
       this.machineId = undefined;
     }
   }
--- a/src/proxy/body-receiver.ts
+++ b/src/proxy/body-receiver.ts
@@ -1,41 +1,41 @@
-/** Receives a caller's request body: small ones whole, so that they can be sent again. */
+/** Receives a caller's request body. Small bodies are buffered in full, so that they can be sent again. */
 import type { IncomingMessage } from 'node:http';
 import type { ProxyLimits } from './proxy-limits.js';
 import { EMPTY_BODY, HeldBody, StreamedBody, type RequestBody } from './request-body.js';
 import { BodyTooLargeError } from './request-error.js';
 
-/** Bytes of bodies that the node holds in all. */
-export class HeldBytes {
-  private used = 0;
+/** Memory budget of a node for all buffered request bodies. */
+export class BodyBufferBudget {
+  private reservedBytes = 0;
 
   constructor(private readonly maxBytes: number) {}
 
-  /** Reserves `bytes`; false when there is no room. */
+  /** Reserves `bytes`; returns false when they exceed the remaining budget. */
   reserve(bytes: number): boolean {
-    if (this.used + bytes > this.maxBytes) {
+    if (this.reservedBytes + bytes > this.maxBytes) {
       return false;
     }
-    this.used += bytes;
+    this.reservedBytes += bytes;
     return true;
   }
 
   release(bytes: number): void {
-    this.used -= bytes;
+    this.reservedBytes -= bytes;
   }
 }
 
-/** Gets the body once it can be sent on; not called when the caller breaks off before. */
+/** Receives the body once it can be forwarded; not called when the caller aborts before. */
 export type BodyConsumer = (body: RequestBody) => void;
 
 /**
- * Receives the body of `request`. Returns a function that gives the reserved memory back, to be
- * called once when the request is over. Throws {@link BodyTooLargeError} for a declared length over
- * the limit; a chunked body over it is broken off while it is sent on.
+ * Receives the body of `request`. Returns a function that releases the reserved memory, to be called
+ * once when the request is over. Throws {@link BodyTooLargeError} for a declared length over the limit;
+ * forwarding of a chunked body is aborted when it exceeds the limit.
  */
 export function receiveBody(
   request: IncomingMessage,
   limits: ProxyLimits,
-  heldBytes: HeldBytes,
+  bufferBudget: BodyBufferBudget,
   consume: BodyConsumer,
 ): () => void {
   const length = declaredLength(request);
@@ -45,19 +45,19 @@
     return () => undefined;
   }
   if (length !== undefined && length > limits.maxBodyBytes) {
-    throw new BodyTooLargeError(`the body has more than ${limits.maxBodyBytes} bytes`);
+    throw new BodyTooLargeError(`the request body exceeds ${limits.maxBodyBytes} bytes`);
   }
   const reserved = Math.min(length ?? Infinity, limits.maxReplayBodyBytes);
   const isSmall = length === undefined || length <= limits.maxReplayBodyBytes;
-  if (!isSmall || !heldBytes.reserve(reserved)) {
+  if (!isSmall || !bufferBudget.reserve(reserved)) {
     consume(new StreamedBody(request, length, [], limits.maxBodyBytes));
     return () => undefined;
   }
-  collect(request, length, limits, consume);
-  return () => heldBytes.release(reserved);
+  bufferBody(request, length, limits, consume);
+  return () => bufferBudget.release(reserved);
 }
 
-/** Length by header: 0 without a body, undefined for a chunked one. */
+/** The length that the headers declare: 0 without a body, undefined for a chunked body. */
 function declaredLength(request: IncomingMessage): number | undefined {
   if (request.headers['transfer-encoding'] !== undefined) {
     return undefined;
@@ -65,8 +65,8 @@
   return Number(request.headers['content-length'] ?? 0);
 }
 
-/** Reads until the end, or until the body proves too large to be held. */
-function collect(
+/** Buffers the body until its end; a body that exceeds the buffer limit is streamed instead. */
+function bufferBody(
   request: IncomingMessage,
   length: number | undefined,
   limits: ProxyLimits,
@@ -74,20 +74,20 @@
 ): void {
   const chunks: Buffer[] = [];
   let receivedBytes = 0;
-  const take = (chunk: Buffer): void => {
+  const onData = (chunk: Buffer): void => {
     chunks.push(chunk);
     receivedBytes += chunk.length;
     if (receivedBytes > limits.maxReplayBodyBytes) {
-      request.off('data', take);
-      request.off('end', finish);
+      request.off('data', onData);
+      request.off('end', onEnd);
       request.pause();
       consume(new StreamedBody(request, length, chunks, limits.maxBodyBytes));
     }
   };
-  const finish = (): void => {
+  const onEnd = (): void => {
     const [first] = chunks;
     consume(new HeldBody(chunks.length === 1 && first ? first : Buffer.concat(chunks)));
   };
-  request.on('data', take);
-  request.once('end', finish);
+  request.on('data', onData);
+  request.once('end', onEnd);
 }
--- a/src/proxy/call-meter.ts
+++ b/src/proxy/call-meter.ts
@@ -1,40 +1,40 @@
-/** Counts the exchanges that are open at a node, and when the last one arrived. */
+/** Counts the open exchanges of a node and records when the last one started. */
 
-/** Something that says when it is over. */
-export interface Closing {
+/** An exchange that emits `close` when it ends. */
+export interface Closable {
   once(event: 'close', listener: () => void): unknown;
 }
 
-/** The meter of one node; `nowMs` is its monotonic clock. */
+/** The exchanges of one node; `nowMs` is its monotonic clock. */
 export class CallMeter {
   private openCalls = 0;
   private arrivedAtMs = 0;
 
   constructor(private readonly nowMs: () => number) {}
 
-  /** Exchanges that are open. */
+  /** The number of open exchanges. */
   get inFlight(): number {
     return this.openCalls;
   }
 
-  /** When the last exchange began. */
+  /** When the last exchange started. */
   get lastArrivalAtMs(): number {
     return this.arrivedAtMs;
   }
 
-  /** Counts an exchange until it closes; `onEnd` gets how long it was open. */
-  count(exchange: Closing, onEnd?: (openMs: number) => void): void {
+  /** Counts an exchange until it closes; `onEnd` receives how long it was open. */
+  count(exchange: Closable, onEnd?: (openMs: number) => void): void {
     exchange.once('close', this.begin(onEnd));
   }
 
   /** Counts an exchange until the returned function is called, which must happen once. */
   begin(onEnd?: (openMs: number) => void): () => void {
-    const beganAtMs = this.nowMs();
+    const startedAtMs = this.nowMs();
     this.openCalls += 1;
-    this.arrivedAtMs = beganAtMs;
+    this.arrivedAtMs = startedAtMs;
     return () => {
       this.openCalls -= 1;
-      onEnd?.(this.nowMs() - beganAtMs);
+      onEnd?.(this.nowMs() - startedAtMs);
     };
   }
 }
--- a/src/proxy/call.ts
+++ b/src/proxy/call.ts
@@ -1,4 +1,4 @@
-/** A request on its way through a node, and the attempts to get it answered. */
+/** Requests that a node forwards, the answers to them, and the attempts that obtain an answer. */
 import type { Readable } from 'node:stream';
 import type { Endpoint } from '../model/resource.js';
 import type { HeaderList } from './headers.js';
@@ -7,64 +7,63 @@
 
 /** One attempt's request, as sent to an endpoint or to its node. */
 export interface Call {
-  /** Unique for each attempt in the fleet; names the attempt in cancellations. */
+  /** Unique in the fleet for each attempt; identifies the attempt in cancellations. */
   readonly requestId: string;
   readonly method: string;
   /** Path and query as the caller sent them. */
   readonly target: string;
-  /** Headers of the message, without those of connections and nodes. */
+  /** Headers of the message, without hop-by-hop headers and headers between nodes. */
   readonly headers: HeaderList;
   readonly body: RequestBody;
   /** On the node's monotonic clock, in milliseconds. */
   readonly deadlineAtMs: number;
-  /** Machine identity of the caller's node. */
+  /** Machine id of the caller's node. */
   readonly callerNode: string;
-  /** Attempts after the first that the receivers of this attempt may make among them. */
+  /** Retries that the receivers of this attempt may make in total. */
   readonly retriesLeft: number;
-  /** Rank among the requests that wait for the endpoint; 0 goes first. */
+  /** Rank among the requests that are queued for the endpoint; 0 is the highest. */
   readonly priority: number;
-  /** Whether the attempt may run again elsewhere, though it may have run; false when absent. */
+  /** Whether the request may run again elsewhere although this attempt may have run; false when absent. */
   readonly isRepeatable?: boolean;
-  /** Requests of one class take about equally long; the name of their route. */
+  /** The name of the route; requests of one class take about equally long. */
   readonly workClass: string;
-  /** Until when the answer should be there; the deadline when absent. On the node's clock. */
+  /** When the answer is due; the deadline when absent. On the node's clock. */
   readonly targetAtMs?: number | undefined;
-  /** Until when the request waits for a slot of the endpoint. On the node's clock. */
+  /** Until when the request may wait for a slot of the endpoint. On the node's clock. */
   readonly startByMs?: number | undefined;
-  /** How much longer than usual the call was on its way to this node, in milliseconds. */
+  /** How much longer than usual the call took to reach this node, in milliseconds. */
   readonly travelLostMs?: number;
 }
 
-/** What an endpoint, and the node that owns it, said of its load. */
+/** The load of an endpoint, as reported by the endpoint and by the node that owns it. */
 export interface LoadReport {
-  /** Requests that run or wait. */
+  /** Requests that are running or queued. */
   readonly inFlight: number;
   readonly slots: number;
   readonly draining: boolean;
-  /** Whether the endpoint's node is about to stop; it comes back soon. */
+  /** Whether the endpoint's node is about to stop; it is expected to restart soon. */
   readonly isNodeStopping?: boolean;
-  /** Share of the latest requests that failed, from 0 to 1; by the endpoint's node. */
+  /** Share of the latest requests that failed, from 0 to 1; reported by the endpoint's node. */
   readonly failureShare?: number;
-  /** Mean time that the endpoint takes for the request's class of work, in milliseconds; by its node. */
+  /** Mean service time of the request's class of work, in milliseconds; reported by the endpoint's node. */
   readonly serviceMs?: number | undefined;
 }
 
 /**
- * - `held`: the whole body is here.
- * - `streamed`: the body is still to be read.
+ * - `held`: the body is buffered in full.
+ * - `streamed`: the body is read from a stream.
  */
 export type AnswerBody =
   | { readonly kind: 'held'; readonly bytes: Buffer }
   | {
       readonly kind: 'streamed';
       readonly stream: Readable;
-      /** Whether the body arrived in full; to be asked once the stream has closed. */
-      readonly isWhole: () => boolean;
-      /** Asks a sender that waits for its receiver to send so many bytes more; none waits when absent. */
-      readonly collect?: (bytes: number) => void;
+      /** Whether the body arrived in full; valid once the stream has closed. */
+      readonly isComplete: () => boolean;
+      /** Extends the sender's flow-control window by `bytes`; absent when the sender has no such window. */
+      readonly extendWindow?: (bytes: number) => void;
     };
 
-/** An answer. */
 export interface Answer {
   readonly status: number;
   readonly headers: HeaderList;
@@ -75,35 +74,37 @@
 }
 
 /**
- * Why an attempt's answer is in doubt: nothing arrives on the connection to the `peer` while a new one
- * works (`connection`), or nothing at all is heard of it (`peer`).
+ * What is unresponsive:
+ *
+ * - `connection`: nothing arrives on the connection to the peer, although a new connection to it works.
+ * - `peer`: nothing is received from the peer at all.
  */
-export type SilentThing = 'connection' | 'peer';
+export type UnresponsiveTarget = 'connection' | 'peer';
 
-/** A sign that the answer of an attempt may not come. */
-export interface SilenceSign {
-  readonly silent: SilentThing;
-  /** Time since anything was heard, in milliseconds; undefined where it is not known. */
+/** The reason for a suspicion that an attempt will not be answered. */
+export interface AttemptSuspicion {
+  readonly silent: UnresponsiveTarget;
+  /** Time since anything was received, in milliseconds; undefined if it is not known. */
   readonly quietMs?: number;
 }
 
-/** Gets the outcome of one attempt: answered or failed, once, unless the attempt is aborted. */
+/** Receives the outcome of one attempt: answered or failed, exactly once, unless the attempt is aborted. */
 export interface AttemptObserver {
   answered(answer: Answer): void;
   failed(error: RequestError, load?: LoadReport): void;
-  /** The answer is in doubt; it may still come. */
-  suspected?(sign: SilenceSign): void;
+  /** The attempt is suspected to fail; it may still be answered. */
+  suspected?(suspicion: AttemptSuspicion): void;
 }
 
-/** An attempt under way. */
+/** An attempt in progress. */
 export interface Attempt {
-  /** Gives the attempt up: nothing more is reported, and the endpoint is told to cancel. */
+  /** Abandons the attempt: nothing more is reported, and the endpoint is asked to cancel the request. */
   abort(): void;
-  /** Whether the endpoint has provably not got the request; it never will once the attempt is aborted. */
+  /** Whether the endpoint has provably not received the request; once the attempt is aborted, it never will. */
   isUnsent(): boolean;
 }
 
-/** A way to an endpoint. */
+/** Submits calls to endpoints, directly or through another node. */
 export interface EndpointPath {
   submit(endpoint: Endpoint, call: Call, observer: AttemptObserver): Attempt;
 }
--- a/src/proxy/caller-connections.ts
+++ b/src/proxy/caller-connections.ts
@@ -1,8 +1,8 @@
 /**
- * Callers' connections and the exchanges that are open on each. A caller may send further requests
- * before the first is answered; Node tells only the response that is being written of the end of
- * its connection, so the others are told here. Whatever ends a caller's connection but its caller, or the
- * bound of a stop, does so here: after the last answer its caller may still read.
+ * Callers' connections and the open exchanges on each. A caller may pipeline requests; Node notifies only the
+ * response that is being written when its connection closes, so the other exchanges are notified here. All connections
+ * that are not closed by their callers or by the time limit of a shutdown are closed here, in a way that lets the
+ * caller still read the last answer.
  */
 import type { ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
@@ -18,11 +18,11 @@
 import { SocketPoll } from './socket-poll.js';
 import { LINGER_MS, LingeringCloses } from './lingering-close.js';
 
-/** Told of the end of one exchange; `isWhole` when its answer went out in full, `reason` says why it did not. */
-type CloseListener = (isWhole: boolean, reason?: ConnectionEndReason) => void;
+/** Called at the end of one exchange; `isComplete` if its answer was sent in full, else `reason` says why not. */
+type CloseListener = (isComplete: boolean, reason?: ConnectionEndReason) => void;
 
-/** The end of a connection, from the moment at which it began. */
-type BegunEnd = Pick<ConnectionEnd, 'reason' | 'unsentBytes'>;
+/** The end of a connection that is being closed, as recorded when closing started. */
+type PendingEnd = Pick<ConnectionEnd, 'reason' | 'unsentBytes'>;
 
 /** The open exchanges of one connection. */
 type OpenExchanges = Map<ServerResponse, CloseListener[]>;
@@ -31,62 +31,62 @@
 export class CallerConnections {
   private readonly exchangesOf = new WeakMap<Duplex, OpenExchanges>();
   private readonly closing = new WeakSet<Duplex>();
-  /** What is done once the whole requests of a connection are answered. */
+  /** Called once all complete requests of a connection are answered. */
   private readonly answeredListeners = new WeakMap<Duplex, () => void>();
-  private readonly open = new Set<Duplex>();
-  /** How connections are being ended; by their callers where nothing is said. */
-  private readonly ends = new WeakMap<Duplex, BegunEnd>();
-  private readonly waitingBytesOf = new WeakMap<ServerResponse, () => number>();
-  /** What begins the requests of a connection that wait, in their order. */
-  private readonly deferred = new WeakMap<Duplex, (() => void)[]>();
-  private readonly poll = new SocketPoll();
-  private readonly lingering = new LingeringCloses(this.poll);
-  private readonly pauses = new WeakMap<Duplex, ReadingPause>();
-
-  /** `afterFlush` calls its action once Node has handed what it holds of a response to the connection. */
+  private readonly openSockets = new Set<Duplex>();
+  /** Why connections are being closed; those without an entry are closed by their callers. */
+  private readonly pendingEnds = new WeakMap<Duplex, PendingEnd>();
+  private readonly bufferedBytesOf = new WeakMap<ServerResponse, () => number>();
+  /** Functions that start the deferred requests of a connection, in their order. */
+  private readonly deferredStarts = new WeakMap<Duplex, (() => void)[]>();
+  private readonly socketPoll = new SocketPoll();
+  private readonly lingering = new LingeringCloses(this.socketPoll);
+  private readonly readingPauses = new WeakMap<Duplex, ReadingPause>();
+
+  /** `afterFlush` calls its action once Node has written the buffered part of a response to the connection. */
   constructor(
     private readonly onEnd: ConnectionEndListener = () => undefined,
     private readonly afterFlush: (action: () => void) => void = setImmediate,
   ) {}
 
-  /** Connections that are closed here, and not by their callers yet. */
+  /** Connections that are closed on this side, but not yet by their callers. */
   get lingeringCount(): number {
     return this.lingering.count;
   }
 
-  /** A connection was taken. */
+  /** Registers an accepted connection. */
   opened(socket: Socket): void {
-    this.open.add(socket);
-    this.pauses.set(socket, new ReadingPause(socket, () => MACHINE_TIME.now()));
-    // What Node calls once the last answer is written.
+    this.openSockets.add(socket);
+    this.readingPauses.set(socket, new ReadingPause(socket, () => MACHINE_TIME.now()));
+    // Node calls this once the last answer is written.
     socket.destroySoon = () => this.close(socket, 'last-answer');
-    // Listeners of the exchanges on it come after this one.
+    // Listeners of the exchanges on the connection are registered later, so they run after this one.
     socket.once('close', () => {
-      this.open.delete(socket);
+      this.openSockets.delete(socket);
       const cutCount = this.exchangesOf.get(socket)?.size ?? 0;
-      const { unsentBytes = 0 } = this.ends.get(socket) ?? {};
+      const { unsentBytes = 0 } = this.pendingEnds.get(socket) ?? {};
       this.onEnd({ reason: this.reasonOf(socket), cutCount, unsentBytes });
     });
   }
 
   /**
-   * Closes a connection on which nothing more is to be sent. Its caller can still read what was, for `lingerMs` at
-   * most; what it sends is dropped.
+   * Closes a connection on which nothing more will be sent. Its caller can still read sent data for up to `lingerMs`;
+   * data that it sends is discarded.
    */
   close(socket: Duplex, reason: ConnectionEndReason, lingerMs = LINGER_MS): void {
-    this.endsFor(socket, reason);
+    this.recordEndReason(socket, reason);
     this.closing.add(socket);
     this.lingering.begin(socket, lingerMs);
   }
 
-  /** Connections on which nothing is under way and that are not being closed. */
+  /** The number of connections without an open exchange that are not being closed. */
   get idleCount(): number {
-    return this.idle().length;
+    return this.idleSockets().length;
   }
 
-  /** Closes the connections on which nothing is under way, as long as `mayClose` says so. */
+  /** Closes idle connections until `mayClose` returns false. */
   closeIdle(mayClose: () => boolean = () => true): void {
-    for (const socket of this.idle()) {
+    for (const socket of this.idleSockets()) {
       if (!mayClose()) {
         return;
       }
@@ -94,98 +94,101 @@
     }
   }
 
-  /** Closes a connection whose idle time is over, unless its caller has sent something that was not read yet. */
-  async closeUnused(socket: Socket): Promise<void> {
+  /** Closes a connection that reached its idle timeout, unless data from its caller is still unread. */
+  async closeIfIdle(socket: Socket): Promise<void> {
     const { bytesRead } = socket;
-    await this.poll.renew();
+    await this.socketPoll.renew();
     if (socket.bytesRead === bytesRead && !this.hasOpenRequest(socket)) {
       this.close(socket, 'idle');
     }
   }
 
-  private idle(): Duplex[] {
-    return [...this.open].filter(
+  private idleSockets(): Duplex[] {
+    return [...this.openSockets].filter(
       (socket) => !this.hasOpenRequest(socket) && !this.lingering.has(socket),
     );
   }
 
-  /** Every connection that is open is about to be cut. */
-  allEndFor(reason: ConnectionEndReason): void {
-    this.open.forEach((socket) => this.endsFor(socket, reason));
+  /** Records `reason` for all open connections, which are about to be closed abruptly. */
+  recordEndReasonForAll(reason: ConnectionEndReason): void {
+    this.openSockets.forEach((socket) => this.recordEndReason(socket, reason));
   }
 
   /**
-   * Ends a connection in the middle of an answer, so that its caller can't take it for a whole one; what went
-   * before it can still be read. Nothing behind it can be answered.
+   * Closes a connection in the middle of an answer, so that its caller can't mistake the answer for a complete one.
+   * Earlier answers can still be read; later requests on the connection can't be answered.
    */
-  breakOff(socket: Duplex, response: ServerResponse): void {
+  abortAnswer(socket: Duplex, response: ServerResponse): void {
     this.closing.add(socket);
     if (response.socket === null && !response.destroyed) {
-      // Answers before it are still going out; what was written of it follows them.
-      response.once('socket', () => this.afterFlush(() => this.breakNow(socket)));
+      // Earlier answers are still being sent; the written part of this one follows them.
+      response.once('socket', () => this.afterFlush(() => this.abortConnection(socket)));
     } else {
-      this.breakNow(socket);
+      this.abortConnection(socket);
     }
   }
 
-  /** Longest time for which a request may have lain unread that is read now, in milliseconds. */
+  /** Longest time for which a request that is read now may have been unread, in milliseconds. */
   unreadMs(socket: Duplex): number {
-    return this.pauses.get(socket)?.unreadMs ?? 0;
+    return this.readingPauses.get(socket)?.unreadMs ?? 0;
   }
 
-  /** An exchange begins. */
-  began(socket: Duplex, response: ServerResponse): void {
+  exchangeStarted(socket: Duplex, response: ServerResponse): void {
     this.openExchanges(socket).set(response, []);
-    response.once('close', () => this.end(socket, response));
+    response.once('close', () => this.endExchange(socket, response));
   }
 
-  /** An answer is passed to `response`; `waitingBytes` tells how much of it waits for its turn. */
-  answerWaits(response: ServerResponse, waitingBytes: () => number): void {
-    this.waitingBytesOf.set(response, waitingBytes);
+  /** Registers how many bytes of an answer wait for earlier answers on the connection. */
+  trackBufferedBytes(response: ServerResponse, bufferedBytes: () => number): void {
+    this.bufferedBytesOf.set(response, bufferedBytes);
   }
 
   /**
-   * Calls `begin` once fewer bytes of answers wait on the connection, and no request before this one does: a caller
-   * that sends ahead of what it reads has no more work begun.
+   * Calls `start` once the buffered answers of the connection are below their size limit and no earlier request
+   * is deferred. This bounds the work started for a caller that pipelines requests without reading the answers.
    */
-  whenRoom(socket: Duplex, begin: () => void): void {
-    const queue = this.deferred.get(socket) ?? [];
-    this.deferred.set(socket, queue);
-    queue.push(begin);
-    this.beginDeferred(socket);
+  whenBelowBufferLimit(socket: Duplex, start: () => void): void {
+    const queue = this.deferredStarts.get(socket) ?? [];
+    this.deferredStarts.set(socket, queue);
+    queue.push(start);
+    this.startDeferred(socket);
   }
 
-  private beginDeferred(socket: Duplex): void {
-    const queue = this.deferred.get(socket) ?? [];
-    while (queue.length > 0 && !socket.destroyed && this.waitingBytes(socket) < MAX_WAITING_BYTES) {
+  private startDeferred(socket: Duplex): void {
+    const queue = this.deferredStarts.get(socket) ?? [];
+    while (
+      queue.length > 0 &&
+      !socket.destroyed &&
+      this.bufferedBytes(socket) < MAX_WAITING_BYTES
+    ) {
       queue.shift()?.();
     }
   }
 
-  /** Whether a request of the connection waits for its answer. */
+  /** Whether a request of the connection is unanswered. */
   hasOpenRequest(socket: Duplex): boolean {
     return (this.exchangesOf.get(socket)?.size ?? 0) > 0;
   }
 
-  /** Whether a request of the connection that was read to its end waits for its answer. */
-  hasWholeRequest(socket: Duplex): boolean {
+  /** Whether a completely received request of the connection is unanswered. */
+  hasCompleteRequest(socket: Duplex): boolean {
     return [...(this.exchangesOf.get(socket)?.keys() ?? [])].some(({ req }) => req.complete);
   }
 
-  /** Calls `action` once all requests that were read to their end are answered, or broken off. */
+  /** Calls `action` once all completely received requests are answered or aborted. */
   onceAnswered(socket: Duplex, action: () => void): void {
     this.answeredListeners.set(socket, action);
-    this.tellAnswered(socket);
+    this.notifyAnswered(socket);
   }
 
-  /** Whether a request that came behind that of `response` waits for its answer. */
-  hasRequestBehind(socket: Duplex, response: ServerResponse): boolean {
+  /** Whether a request that arrived after that of `response` is unanswered. */
+  hasLaterRequest(socket: Duplex, response: ServerResponse): boolean {
     const responses = [...(this.exchangesOf.get(socket)?.keys() ?? [])];
     return responses.length > 0 && responses.at(-1) !== response;
   }
 
-  /** The answer under way is the last one of the connection. */
-  closesAfterAnswer(socket: Duplex): void {
+  /** Marks the current answer as the last one of the connection. */
+  markClosing(socket: Duplex): void {
     this.closing.add(socket);
   }
 
@@ -194,7 +197,7 @@
     return this.closing.has(socket);
   }
 
-  /** Calls `action` once the exchange is over, whichever way it ends. */
+  /** Calls `action` once the exchange has ended, completely or not. */
   onClose(socket: Duplex, response: ServerResponse, action: CloseListener): void {
     const listeners = this.exchangesOf.get(socket)?.get(response);
     if (listeners === undefined) {
@@ -204,33 +207,33 @@
     }
   }
 
-  /** Notes why a connection ends; the first reason counts. */
-  private endsFor(socket: Duplex, reason: ConnectionEndReason): void {
-    if (!this.ends.has(socket)) {
-      this.ends.set(socket, { reason, unsentBytes: this.unsentBytes(socket) });
+  /** Records why a connection is closed; only the first reason is kept. */
+  private recordEndReason(socket: Duplex, reason: ConnectionEndReason): void {
+    if (!this.pendingEnds.has(socket)) {
+      this.pendingEnds.set(socket, { reason, unsentBytes: this.unsentBytes(socket) });
     }
   }
 
   private reasonOf(socket: Duplex): ConnectionEndReason {
-    return this.ends.get(socket)?.reason ?? 'caller';
+    return this.pendingEnds.get(socket)?.reason ?? 'caller';
   }
 
-  /** What is held of the answers of a connection, those that wait for their turn included. */
+  /** Buffered bytes of all answers of a connection, including those that wait for earlier answers. */
   private unsentBytes(socket: Duplex): number {
-    return socket.writableLength + this.waitingBytes(socket);
+    return socket.writableLength + this.bufferedBytes(socket);
   }
 
-  private waitingBytes(socket: Duplex): number {
+  private bufferedBytes(socket: Duplex): number {
     let bytes = 0;
     for (const response of this.exchangesOf.get(socket)?.keys() ?? []) {
-      bytes += this.waitingBytesOf.get(response)?.() ?? 0;
+      bytes += this.bufferedBytesOf.get(response)?.() ?? 0;
     }
     return bytes;
   }
 
-  private breakNow(socket: Duplex): void {
+  private abortConnection(socket: Duplex): void {
     this.close(socket, 'broken-answer');
-    this.endAll(socket);
+    this.endExchanges(socket);
   }
 
   private openExchanges(socket: Duplex): OpenExchanges {
@@ -238,31 +241,31 @@
     if (exchanges === undefined) {
       exchanges = new Map();
       this.exchangesOf.set(socket, exchanges);
-      socket.once('close', () => this.endAll(socket));
+      socket.once('close', () => this.endExchanges(socket));
     }
     return exchanges;
   }
 
-  private endAll(socket: Duplex): void {
+  private endExchanges(socket: Duplex): void {
     for (const response of [...(this.exchangesOf.get(socket)?.keys() ?? [])]) {
-      this.end(socket, response);
+      this.endExchange(socket, response);
     }
   }
 
-  private end(socket: Duplex, response: ServerResponse): void {
+  private endExchange(socket: Duplex, response: ServerResponse): void {
     const exchanges = this.exchangesOf.get(socket);
     const listeners = exchanges?.get(response) ?? [];
     exchanges?.delete(response);
     for (const listener of listeners) {
       listener(response.writableFinished, this.reasonOf(socket));
     }
-    this.tellAnswered(socket);
-    this.beginDeferred(socket);
+    this.notifyAnswered(socket);
+    this.startDeferred(socket);
   }
 
-  private tellAnswered(socket: Duplex): void {
+  private notifyAnswered(socket: Duplex): void {
     const listener = this.answeredListeners.get(socket);
-    if (listener !== undefined && !this.hasWholeRequest(socket)) {
+    if (listener !== undefined && !this.hasCompleteRequest(socket)) {
       this.answeredListeners.delete(socket);
       listener();
     }
--- a/src/proxy/caller-protocol.ts
+++ b/src/proxy/caller-protocol.ts
@@ -1,7 +1,7 @@
 /**
- * How callers and a node speak to each other: header names and the form of error answers. The
- * product's own protocol stands here; an adapter may bring another one. A protocol only names and
- * formats, it decides nothing.
+ * The protocol between callers and a node: header names and the format of error answers. The native
+ * protocol is defined here; an adapter may provide another one. A protocol only names and formats, it
+ * makes no decisions.
  */
 import { VERDICT_HEADER, type Verdict } from '../model/verdict.js';
 import type { HeaderList } from './headers.js';
@@ -11,37 +11,37 @@
 const REFUSED_STATUS = 503;
 const REQUEST_ID_HEADER = 'ferryspool-request-id';
 
-/** An answer that reports an error, as it goes out. */
+/** An answer that reports an error, as it is sent. */
 export interface ErrorAnswer {
   readonly status: number;
-  /** Names and values, alternating; without framing. */
+  /** Names and values, alternating; without framing headers. */
   readonly headers: HeaderList;
   readonly body: string;
 }
 
-/** Names and forms of one kind of callers. Header names are in lower case. */
+/** Header names and formats for one kind of caller. Header names are in lower case. */
 export interface CallerProtocol {
   /** Header with the time left, in whole milliseconds. */
   readonly deadlineHeader: string;
-  /** Header with the attempts after the first that may be made; undefined where there is none. */
+  /** Header with the number of retries that may be made; undefined if the protocol has none. */
   readonly retriesHeader: string | undefined;
-  /** Header with the idempotency key; undefined where there is none. */
+  /** Header with the idempotency key; undefined if the protocol has none. */
   readonly idempotencyKeyHeader: string | undefined;
-  /** Header in which the caller names its request; undefined where the node names it. */
+  /** Header with the caller's request id; undefined if the node generates it. */
   readonly requestIdHeader: string | undefined;
-  /** Headers that are not passed on as the caller sent them. */
+  /** Headers that are not forwarded as the caller sent them. */
   readonly droppedHeaders: ReadonlySet<string>;
-  /** Headers added to every request that is passed on: names and values, alternating. */
+  /** Headers added to every forwarded request: names and values, alternating. */
   readonly addedHeaders: HeaderList;
-  /** Header of a request that is passed on which names its caller; undefined where none does. */
+  /** Header of a forwarded request that identifies its caller; undefined if the protocol has none. */
   readonly callerHeader: string | undefined;
   /** Headers added to an endpoint's answer. */
   answerHeaders(requestId: string): HeaderList;
-  /** How `error` is told under `verdict`, which covers all attempts. */
+  /** The answer that reports `error`; `verdict` covers all attempts. */
   errorAnswer(error: RequestError, verdict: Verdict, requestId: string): ErrorAnswer;
 }
 
-/** The product's own protocol. */
+/** The native protocol. */
 export const NATIVE_CALLER_PROTOCOL: CallerProtocol = {
   deadlineHeader: 'x-deadline-ms',
   retriesHeader: 'ferryspool-retries',
@@ -58,7 +58,7 @@
   }),
 };
 
-/** Headers of an error answer in the product's own protocol, with `others` after the verdict. */
+/** Headers of an error answer in the native protocol, with `others` after the verdict. */
 function nativeErrorHeaders(error: RequestError, verdict: Verdict, others: HeaderList): HeaderList {
   const list = [VERDICT_HEADER, verdict, 'Content-Type', 'application/json', ...others];
   const retryAfterMs = retryAfterOf(error);
@@ -68,12 +68,11 @@
   return list;
 }
 
-/** The body of an error answer. */
 export function errorBody(code: string, message: string, verdict: Verdict): string {
   return `${JSON.stringify({ code, message, verdict })}\n`;
 }
 
-/** When the caller may come back, in milliseconds; every refusal says so. */
+/** When the caller may retry, in milliseconds; defined for every refusal. */
 export function retryAfterOf(error: RequestError): number | undefined {
   const isRefusal = error.status === REFUSED_STATUS;
   return error.retryAfterMs ?? (isRefusal ? DEFAULT_RETRY_AFTER_MS : undefined);
--- a/src/proxy/caller-server.ts
+++ b/src/proxy/caller-server.ts
@@ -1,17 +1,16 @@
 /**
- * Takes requests from callers, in the words of a {@link CallerProtocol}. In the product's own, a
- * caller may send `x-deadline-ms` (time left, in milliseconds), `ferryspool-retries` (attempts after
- * the first that may still be made) and `idempotency-key`; every answer carries `ferryspool-verdict`
- * and `ferryspool-request-id`.
+ * Accepts requests from callers over a {@link CallerProtocol}. In the native protocol, a caller may
+ * send `x-deadline-ms` (time left, in milliseconds), `ferryspool-retries` (retries that may still be
+ * made) and `idempotency-key`; every answer carries `ferryspool-verdict` and `ferryspool-request-id`.
  */
 import http, { type IncomingMessage, type ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 import { MAX_KEY_LENGTH } from '../claims/claim-terms.js';
 import type { Verdict } from '../model/verdict.js';
-import type { AnswerCollection } from './answer-collection.js';
+import type { ShutdownBuffering } from './answer-collection.js';
 import { CallerConnections } from './caller-connections.js';
 import type { CallerProtocol } from './caller-protocol.js';
-import { passAnswer, type AnswerObserver } from './answer-relay.js';
+import { forwardAnswer, type AnswerObserver } from './answer-forwarding.js';
 import { ResponseSink } from './response-sink.js';
 import type { Answer } from './call.js';
 import { sendError } from './error-answer.js';
@@ -23,11 +22,11 @@
 import { MACHINE_TIME } from './scheduler.js';
 import type { CallerReply } from './request-context.js';
 
-/** Most time between two looks for connections that are over a time limit, in milliseconds. */
+/** Interval at which connections are checked against their timeouts, in milliseconds. */
 const TIMEOUT_CHECK_INTERVAL_MS = 500;
-/** Time for a whole request head, in milliseconds. */
+/** Timeout for receiving a complete request head, in milliseconds. */
 const HEADERS_TIMEOUT_MS = 10_000;
-/** Idle connections of callers are kept for this time, in milliseconds. */
+/** Idle timeout of callers' connections, in milliseconds. */
 const KEEP_ALIVE_MS = 60_000;
 
 /** A caller's request, apart from its body. */
@@ -38,21 +37,21 @@
   /** Path without the query. */
   readonly path: string;
   readonly host: string;
-  /** The caller's name for the request; undefined where the protocol has none. */
+  /** The caller's id for the request; undefined if the protocol has none. */
   readonly requestId: string | undefined;
   readonly headers: HeaderList;
-  /** Time left by the caller's word, in milliseconds; undefined when it names none. */
+  /** Time left as given by the caller, in milliseconds; undefined if it gives none. */
   readonly timeoutMs: number | undefined;
   /**
-   * Time for which it waited behind answers of its connection, in milliseconds: it has that much less left. Where the
-   * connection was not read, the longest time for which it may have lain there.
+   * Time for which the request waited for earlier answers on its connection, in milliseconds; it reduces the time left.
+   * If reading from the connection was paused, the longest time for which the request may have been unread is included.
    */
   readonly waitedMs: number;
-  /** Attempts after the first by the caller's word; undefined when it names none. */
+  /** Retries allowed by the caller; undefined if it gives none. */
   readonly retries: number | undefined;
-  /** The caller's idempotency key; undefined when it names none. */
+  /** The caller's idempotency key; undefined if it gives none. */
   readonly idempotencyKey: string | undefined;
-  /** The message, for its body. */
+  /** The message, from which the body is read. */
   readonly message: IncomingMessage;
 }
 
@@ -67,18 +66,23 @@
     private readonly connections: CallerConnections,
   ) {}
 
-  /** Passes an endpoint's answer on; holds it whole where it has up to `holdBytes`. */
-  answer(answer: Answer, requestId: string, holdBytes: number, observer: AnswerObserver): void {
+  /** Forwards an endpoint's answer; buffers it in full if it has up to `maxBufferedBytes`. */
+  answer(
+    answer: Answer,
+    requestId: string,
+    maxBufferedBytes: number,
+    observer: AnswerObserver,
+  ): void {
     const headers = answer.headers.concat(this.options.protocol.answerHeaders(requestId));
-    const { collection } = this.options;
-    const holding = { holdBytes, ...(collection && { collection }) };
+    const { shutdownBuffering } = this.options;
+    const buffering = { maxBufferedBytes, ...(shutdownBuffering && { shutdownBuffering }) };
     const sink = new ResponseSink(this.response, () => this.closeWhenStopping());
     this.sink = sink;
-    this.connections.answerWaits(this.response, () => sink.waitingBytes);
-    passAnswer(answer, sink, headers, holding, observer);
+    this.connections.trackBufferedBytes(this.response, () => sink.waitingBytes);
+    forwardAnswer(answer, sink, headers, buffering, observer);
   }
 
-  /** Reports an error. A body that is still arriving ends with the connection. */
+  /** Reports an error. If the request body is still arriving, the connection is closed after the answer. */
   fail(error: RequestError, verdict: Verdict, requestId: string): void {
     if (this.hasBegun() || this.response.destroyed) {
       this.breakConnection();
@@ -97,18 +101,18 @@
     return this.sink?.headersSent ?? this.response.headersSent;
   }
 
-  /** Breaks the connection, so that the caller can't take the answer for a whole one. */
+  /** Aborts the connection, so that the caller can't mistake the answer for a complete one. */
   breakConnection(): void {
-    this.connections.breakOff(this.request.socket, this.response);
+    this.connections.abortAnswer(this.request.socket, this.response);
   }
 
   /**
-   * Hands the caller over: its next request goes to another node. Requests that came behind this one
-   * are answered first: the connection would close under them.
+   * Closes the connection after this answer during shutdown, so that the caller's next request goes to another node.
+   * If later requests are pending on the connection, it stays open, since closing it would lose them.
    */
   private closeWhenStopping(): void {
     const { request, response, connections } = this;
-    if (this.options.isStopping() && !connections.hasRequestBehind(request.socket, response)) {
+    if (this.options.isStopping() && !connections.hasLaterRequest(request.socket, response)) {
       this.closeAfterAnswer();
     }
   }
@@ -116,33 +120,33 @@
   private closeAfterAnswer(): void {
     const { socket } = this.request;
     this.response.shouldKeepAlive = false;
-    this.connections.closesAfterAnswer(socket);
+    this.connections.markClosing(socket);
   }
 
-  /** Calls `action` once the exchange is over; `isWhole` when the answer went out in full. */
-  onClose(action: (isWhole: boolean, reason?: ConnectionEndReason) => void): void {
+  /** Calls `action` once the exchange has ended; `isComplete` if the answer was sent in full. */
+  onClose(action: (isComplete: boolean, reason?: ConnectionEndReason) => void): void {
     this.connections.onClose(this.request.socket, this.response, action);
   }
 }
 
-/** What the server needs of its node. */
+/** Options of the server, provided by its node. */
 export interface CallerServerOptions {
   readonly protocol: CallerProtocol;
   readonly limits: ProxyLimits;
   /** Whether connections should be closed after their answer. */
   readonly isStopping: () => boolean;
-  /** Reads answers to their ends while the node stops; none does when absent. */
-  readonly collection?: AnswerCollection;
-  /** Told the code of every error answer. */
+  /** Buffers answers during shutdown; they are not buffered for that reason when absent. */
+  readonly shutdownBuffering?: ShutdownBuffering;
+  /** Called with the code of every error answer. */
   readonly onError: (code: string) => void;
-  /** The connections of the server; its owner may end them. */
+  /** The connections of the server; their owner may close them. */
   readonly connections?: CallerConnections;
   readonly handle: (request: CallerRequest, response: CallerResponse) => void;
-  /** The identity of a request that is refused before it reaches `handle`. */
+  /** Generates the id of a request that is refused before it reaches `handle`. */
   readonly nextRequestId: () => string;
 }
 
-/** Makes the server; the caller listens on it. */
+/** Creates the server; the caller of this function calls `listen`. */
 export function createCallerServer(options: CallerServerOptions): http.Server {
   const server = http.createServer({
     maxHeaderSize: options.limits.maxHeaderBytes,
@@ -150,22 +154,22 @@
     keepAliveTimeout: KEEP_ALIVE_MS,
     requestTimeout: 0,
     connectionsCheckingInterval: TIMEOUT_CHECK_INTERVAL_MS,
-    // Checked in `faultOf`, so that the answer carries a verdict.
+    // Checked in `validateRequest`, so that the answer carries a verdict.
     requireHostHeader: false,
   });
   const { connections = new CallerConnections() } = options;
   server.on('connection', (socket) => connections.opened(socket));
-  const take = (request: IncomingMessage, response: ServerResponse): void => {
+  const onRequest = (request: IncomingMessage, response: ServerResponse): void => {
     if (connections.isClosing(request.socket)) {
-      // It must not run: nobody could be told.
+      // It must not run, since it could not be answered.
       request.resume();
       return;
     }
-    connections.began(request.socket, response);
+    connections.exchangeStarted(request.socket, response);
     const { socket } = request;
     const unreadMs = connections.unreadMs(socket);
     const readAtMs = MACHINE_TIME.now();
-    connections.whenRoom(socket, () => {
+    connections.whenBelowBufferLimit(socket, () => {
       if (connections.isClosing(socket)) {
         request.resume();
         return;
@@ -174,15 +178,15 @@
       handleRequest(options, connections, request, response, waitedMs);
     });
   };
-  server.on('request', take);
+  server.on('request', onRequest);
   server.on('checkContinue', (request: IncomingMessage, response: ServerResponse) => {
     if (!connections.isClosing(request.socket)) {
       response.writeContinue();
     }
-    take(request, response);
+    onRequest(request, response);
   });
-  server.on('checkExpectation', take);
-  server.on('timeout', (socket: Socket) => void connections.closeUnused(socket));
+  server.on('checkExpectation', onRequest);
+  server.on('timeout', (socket: Socket) => void connections.closeIfIdle(socket));
   server.on('clientError', createMalformedListener(connections));
   return server;
 }
@@ -196,17 +200,20 @@
 ): void {
   response.on('error', () => response.destroy());
   const callerResponse = new CallerResponse(response, request, options, connections);
-  const fault = faultOf(request, options.protocol);
-  if (fault !== undefined) {
+  const error = validateRequest(request, options.protocol);
+  if (error !== undefined) {
     request.resume();
-    callerResponse.fail(fault, fault.verdict, options.nextRequestId());
+    callerResponse.fail(error, error.verdict, options.nextRequestId());
     return;
   }
   options.handle(readRequest(request, options.protocol, waitedMs), callerResponse);
 }
 
-/** What makes the request unfit to be passed on. */
-function faultOf(request: IncomingMessage, protocol: CallerProtocol): BadRequestError | undefined {
+/** The error for a request that can't be forwarded; undefined for a valid one. */
+function validateRequest(
+  request: IncomingMessage,
+  protocol: CallerProtocol,
+): BadRequestError | undefined {
   if (request.httpVersion !== '1.1') {
     return new BadRequestError('expected HTTP/1.1', 505);
   }
@@ -215,7 +222,7 @@
   }
   const { expect } = request.headers;
   if (expect !== undefined && expect.toLowerCase() !== '100-continue') {
-    return new BadRequestError('expected no expectation but 100-continue', 417);
+    return new BadRequestError('expected 100-continue as the only expectation', 417);
   }
   if (request.url?.startsWith('/') !== true) {
     return new BadRequestError('expected a request target that is a path');
@@ -238,11 +245,11 @@
 ): CallerRequest {
   const { rawHeaders } = request;
   const target = request.url ?? '/';
-  const queryAt = target.indexOf('?');
+  const queryIndex = target.indexOf('?');
   return {
     method: request.method ?? '',
     target,
-    path: queryAt < 0 ? target : target.slice(0, queryAt),
+    path: queryIndex < 0 ? target : target.slice(0, queryIndex),
     host: request.headers.host ?? '',
     requestId: optionalHeader(request, protocol.requestIdHeader),
     headers: messageHeaders(rawHeaders, protocol.droppedHeaders).concat(protocol.addedHeaders),
--- a/src/proxy/claim-gate.ts
+++ b/src/proxy/claim-gate.ts
@@ -1,4 +1,4 @@
-/** Lets a request with an idempotency key start only when its claim is won. */
+/** Starts a request with an idempotency key only after its claim on the key succeeds. */
 import type { ClaimOutcome } from '../claims/claim-command.js';
 import { ClaimedReply } from './claimed-reply.js';
 import type { ClaimedAttempt, IdempotencyClaims } from './idempotency-claims.js';
@@ -11,10 +11,10 @@
 import type { RequestLog } from './request-log.js';
 import { stopFailure } from './stop-failure.js';
 
-/** When to come back after no majority could tell whether a key was used, in milliseconds. */
+/** Retry delay when no majority could determine whether a key was used, in milliseconds. */
 const UNAVAILABLE_RETRY_MS = 2_000;
 
-/** A request with an idempotency key, until its claim is decided: nothing of it has been sent on. */
+/** A request with an idempotency key whose claim is undecided; no part of it has been forwarded. */
 export class ClaimGate {
   private state: 'waiting' | 'caller-gone' | 'given-up' | 'decided' = 'waiting';
 
@@ -24,15 +24,15 @@
     private readonly reply: CallerReply,
   ) {
     reply.onClose(() => {
-      this.leave('caller-gone');
+      this.settle('caller-gone');
     });
   }
 
-  /** Claims, then calls `start` with the reply to use, or reports why the request can not start. */
+  /** Claims the key, then calls `start` with the reply to use, or reports why the request can't start. */
   async startWhenClaimed(start: (reply: CallerReply) => void): Promise<void> {
     const { claims, attempt, reply } = this;
     const outcome = await claims.open(attempt);
-    const isWaiting = this.leave('decided');
+    const isWaiting = this.settle('decided');
     if (outcome.outcome === 'won') {
       if (isWaiting) {
         start(new ClaimedReply(reply, claims, attempt));
@@ -41,15 +41,15 @@
       }
       return;
     }
-    // A second answer would cut off the first.
+    // A request that was given up has its answer; a second one would truncate it.
     if (this.state !== 'given-up') {
       this.fail(claimError(outcome));
     }
   }
 
-  /** The node stops: the caller is told so. False when the request does not wait any more. */
+  /** Fails the request because the node is stopping; returns false if it is no longer waiting. */
   giveUp(log: RequestLog): boolean {
-    if (!this.leave('given-up')) {
+    if (!this.settle('given-up')) {
       return false;
     }
     const error = stopFailure(true);
@@ -60,8 +60,8 @@
     return true;
   }
 
-  /** False when it was left before. */
-  private leave(state: 'caller-gone' | 'given-up' | 'decided'): boolean {
+  /** Leaves the `waiting` state; returns false if it was left before. */
+  private settle(state: 'caller-gone' | 'given-up' | 'decided'): boolean {
     const isWaiting = this.state === 'waiting';
     if (isWaiting) {
       this.state = state;
@@ -78,12 +78,12 @@
   switch (outcome.outcome) {
     case 'taken':
       return new DuplicateRequestError(
-        'a request with this idempotency key came first',
+        'another request with this idempotency key was received first',
         outcome.ran ? 'ran' : 'may-have-run',
       );
     case 'unavailable':
       return new ClaimUnavailableError(
-        'no majority could tell whether this idempotency key was used',
+        'no majority could determine whether this idempotency key was used',
         UNAVAILABLE_RETRY_MS,
       );
   }
--- a/src/proxy/claimed-reply.ts
+++ b/src/proxy/claimed-reply.ts
@@ -1,6 +1,6 @@
-/** The caller's side of a request whose key is claimed: tells the claims what became of it. */
+/** The caller's side of a request with a claimed idempotency key: updates the claim with the request's outcome. */
 import type { Verdict } from '../model/verdict.js';
-import type { AnswerObserver } from './answer-relay.js';
+import type { AnswerObserver } from './answer-forwarding.js';
 import type { Answer } from './call.js';
 import type { ClaimedAttempt, IdempotencyClaims } from './idempotency-claims.js';
 import type { ConnectionEndReason } from './connection-end.js';
@@ -8,8 +8,8 @@
 import type { CallerReply } from './request-context.js';
 
 /**
- * Passes everything to `reply`. An answer means that the attempt ran, `not-run` frees the key, and
- * where neither is known the claim stays: the key may have run.
+ * Delegates to `reply`. An answer means that the attempt ran and finishes the claim; the verdict `not-run`
+ * releases the key. In all other cases the claim is kept, since the attempt may have run.
  */
 export class ClaimedReply implements CallerReply {
   constructor(
@@ -18,9 +18,14 @@
     private readonly attempt: ClaimedAttempt,
   ) {}
 
-  answer(answer: Answer, requestId: string, holdBytes: number, observer: AnswerObserver): void {
+  answer(
+    answer: Answer,
+    requestId: string,
+    maxBufferedBytes: number,
+    observer: AnswerObserver,
+  ): void {
     this.claims.finish(this.attempt);
-    this.reply.answer(answer, requestId, holdBytes, observer);
+    this.reply.answer(answer, requestId, maxBufferedBytes, observer);
   }
 
   hasBegun(): boolean {
@@ -38,7 +43,7 @@
     this.reply.breakConnection();
   }
 
-  onClose(action: (isWhole: boolean, reason?: ConnectionEndReason) => void): void {
+  onClose(action: (isComplete: boolean, reason?: ConnectionEndReason) => void): void {
     this.reply.onClose(action);
   }
 }
--- a/src/proxy/endpoint-attempt.ts
+++ b/src/proxy/endpoint-attempt.ts
@@ -1,58 +1,58 @@
 /**
- * Life of one request at the node that owns the endpoint, from its dispatch until its slot is free.
- * Settles the crossings: an answer that meets a cancellation, a connection that dies before the
- * answer, a caller that leaves. Pure: events in, effects out.
+ * State machine of one request at the node that owns the endpoint, from its dispatch until its slot is
+ * free. Resolves races: an answer that crosses a cancellation, a connection that is lost before the
+ * answer, a caller that disconnects. Pure: events in, effects out.
  */
 import type { CancelOutcome } from './endpoint-client.js';
 import type { ExchangeFailure } from './http-exchange.js';
 
-/** Something that happened to a dispatched request. */
+/** An event of a dispatched request. */
 export type EndpointAttemptEvent =
   | { readonly type: 'answered' }
   | { readonly type: 'refused' }
   | { readonly type: 'failed'; readonly failure: ExchangeFailure }
-  /** The connection was lost since the endpoint's process ended. */
+  /** The connection was lost because the endpoint's process exited. */
   | { readonly type: 'ended' }
-  /** The time left to the request is over; `wasSent` is whether bytes may have gone out. */
+  /** The request's time has expired; `wasSent` says whether bytes may have been sent. */
   | { readonly type: 'deadline'; readonly wasSent: boolean }
-  /** Nobody waits for the answer any more. */
+  /** No caller waits for the answer any more. */
   | { readonly type: 'abandoned'; readonly wasSent: boolean }
   | { readonly type: 'cancel-answered'; readonly outcome: CancelOutcome }
   | { readonly type: 'answer-ended'; readonly isWhole: boolean }
-  /** The time for which the slot was held is over. */
+  /** The time for which the slot was kept occupied has elapsed. */
   | { readonly type: 'hold-over' };
 
-/** What the waiting side is told. */
+/** The outcome that is reported to the waiting caller. */
 export type AttemptReport =
   | 'refused'
   | 'unreachable'
   | 'deadline-passed'
-  /** Cancelled with confirmation at the deadline. */
+  /** The deadline passed, and the endpoint confirmed the cancellation. */
   | 'cancelled'
-  /** Cancelled with confirmation after the connection died. */
+  /** The connection was lost, and the endpoint confirmed the cancellation. */
   | 'lost-before-start'
   | 'timed-out'
   | 'lost'
-  /** Lost with the endpoint's process. */
+  /** The endpoint's process exited. */
   | 'ended'
   | 'malformed';
 
-/** Something to be done. */
+/** An action to be executed. */
 export type EndpointAttemptEffect =
   | { readonly type: 'pass-answer' }
   | { readonly type: 'report'; readonly report: AttemptReport }
   | { readonly type: 'send-cancel' }
   | { readonly type: 'close-exchange' }
-  /** The endpoint may still be busy with the request: report `hold-over` after its deadline. */
+  /** The endpoint may still be running the request: keep the slot occupied and send `hold-over` after the deadline. */
   | { readonly type: 'hold-slot' }
-  /** The slot is free; `isMeasured` when the answer was whole, so that its time counts. */
+  /** The slot is free; `isMeasured` if the answer was complete, so that its service time is recorded. */
   | { readonly type: 'release-slot'; readonly isMeasured: boolean };
 
 type State =
-  /** Sent, or about to be; no answer yet. */
+  /** Sent, or about to be sent; no answer yet. */
   | 'dispatched'
   | 'answering'
-  /** A cancellation is under way. */
+  /** A cancellation is in progress. */
   | 'cancelling'
   | 'holding'
   | 'released';
@@ -60,26 +60,26 @@
 /** One dispatched request. */
 export class EndpointAttempt {
   private state: State = 'dispatched';
-  /** What to report when a cancellation gives no better knowledge; undefined when nobody waits. */
+  /** Reported if a cancellation does not prove a better outcome; undefined if no caller waits. */
   private pendingReport: AttemptReport | undefined;
-  /** Whether an answer waits for the outcome of the cancellation. */
-  private hasAnswer = false;
+  /** Whether an answer is held back until the outcome of the cancellation is known. */
+  private hasPendingAnswer = false;
 
-  /** Takes an event; effects are to be executed in order. Events out of place have none. */
+  /** Handles an event; the effects must be executed in order. Events that do not apply to the state have none. */
   handle(event: EndpointAttemptEvent): EndpointAttemptEffect[] {
     switch (event.type) {
       case 'answered':
-        return this.takeAnswer();
+        return this.handleAnswer();
       case 'refused':
-        return this.end('refused');
+        return this.finish('refused');
       case 'failed':
-        return this.fail(event.failure);
+        return this.handleFailure(event.failure);
       case 'ended':
-        return this.end('ended');
+        return this.finish('ended');
       case 'deadline':
         return this.expire(event.wasSent);
       case 'abandoned':
-        return this.abandon(event.wasSent);
+        return this.handleAbandonment(event.wasSent);
       case 'cancel-answered':
         return this.takeCancelOutcome(event.outcome);
       case 'answer-ended':
@@ -90,41 +90,41 @@
   }
 
   /**
-   * An answer that meets the cancellation at the deadline waits for its outcome: it may only report
-   * that the request was cancelled.
+   * An answer that crosses the cancellation at the deadline is held back until the outcome of the cancellation is
+   * known, since the answer may only report that the request was cancelled.
    */
-  private takeAnswer(): EndpointAttemptEffect[] {
+  private handleAnswer(): EndpointAttemptEffect[] {
     if (this.state === 'dispatched') {
-      return this.passAnswer();
+      return this.forwardAnswer();
     }
     if (this.state === 'cancelling' && this.pendingReport === 'timed-out') {
-      this.hasAnswer = true;
+      this.hasPendingAnswer = true;
       return [];
     }
     return [{ type: 'close-exchange' }];
   }
 
-  private passAnswer(): EndpointAttemptEffect[] {
+  private forwardAnswer(): EndpointAttemptEffect[] {
     this.state = 'answering';
     this.pendingReport = undefined;
     return [{ type: 'pass-answer' }];
   }
 
-  private end(report: AttemptReport): EndpointAttemptEffect[] {
+  private finish(report: AttemptReport): EndpointAttemptEffect[] {
     if (this.state === 'dispatched') {
       return [{ type: 'report', report }, ...this.release(false)];
     }
     if (this.state === 'cancelling') {
-      const isAwaited = this.pendingReport !== undefined;
-      const reports: EndpointAttemptEffect[] = isAwaited ? [{ type: 'report', report }] : [];
+      const hasWaitingCaller = this.pendingReport !== undefined;
+      const reports: EndpointAttemptEffect[] = hasWaitingCaller ? [{ type: 'report', report }] : [];
       return [...reports, ...this.release(false)];
     }
     return [];
   }
 
-  private fail(failure: ExchangeFailure): EndpointAttemptEffect[] {
+  private handleFailure(failure: ExchangeFailure): EndpointAttemptEffect[] {
     if (failure === 'never-sent') {
-      return this.end('unreachable');
+      return this.finish('unreachable');
     }
     return this.state === 'dispatched' ? this.cancel(failure) : [];
   }
@@ -135,10 +135,10 @@
     }
     return wasSent
       ? this.cancel('timed-out')
-      : [{ type: 'close-exchange' }, ...this.end('deadline-passed')];
+      : [{ type: 'close-exchange' }, ...this.finish('deadline-passed')];
   }
 
-  private abandon(wasSent: boolean): EndpointAttemptEffect[] {
+  private handleAbandonment(wasSent: boolean): EndpointAttemptEffect[] {
     if (this.state === 'cancelling') {
       this.pendingReport = undefined;
       return [];
@@ -160,14 +160,14 @@
     if (this.state !== 'cancelling') {
       return [];
     }
-    const isProof = outcome === 'not-started' || outcome === 'cancelled';
-    if (this.hasAnswer && this.pendingReport !== undefined && !isProof) {
-      return this.passAnswer();
+    const isProven = outcome === 'not-started' || outcome === 'cancelled';
+    if (this.hasPendingAnswer && this.pendingReport !== undefined && !isProven) {
+      return this.forwardAnswer();
     }
     const effects: EndpointAttemptEffect[] = [{ type: 'close-exchange' }];
     if (this.pendingReport !== undefined) {
-      const proved = this.pendingReport === 'timed-out' ? 'cancelled' : 'lost-before-start';
-      effects.push({ type: 'report', report: isProof ? proved : this.pendingReport });
+      const provenReport = this.pendingReport === 'timed-out' ? 'cancelled' : 'lost-before-start';
+      effects.push({ type: 'report', report: isProven ? provenReport : this.pendingReport });
     }
     if (outcome === 'unconfirmed') {
       this.state = 'holding';
@@ -176,13 +176,13 @@
     return [...effects, ...this.release(false)];
   }
 
-  /** A broken answer may leave the endpoint at work. */
-  private endAnswer(isWhole: boolean): EndpointAttemptEffect[] {
+  /** After a truncated answer, the endpoint may still be running the request. */
+  private endAnswer(isComplete: boolean): EndpointAttemptEffect[] {
     if (this.state !== 'answering') {
-      this.hasAnswer = false;
+      this.hasPendingAnswer = false;
       return [];
     }
-    return isWhole ? this.release(true) : this.cancel(undefined);
+    return isComplete ? this.release(true) : this.cancel(undefined);
   }
 
   private release(isMeasured: boolean): EndpointAttemptEffect[] {
--- a/src/proxy/endpoint-choice.ts
+++ b/src/proxy/endpoint-choice.ts
@@ -1,74 +1,76 @@
-/** Which endpoint gets a request's next attempt, and when the request turns late. Pure. */
+/** Selects the endpoint of a request's next attempt and decides when the request becomes late. Pure. */
 import type { Endpoint } from '../model/resource.js';
 
-/** Finds an endpoint that is not among the tried ones, for work in time or for late work. */
+/** Finds an endpoint that is not in `tried`, for late work if `isLate`. */
 export type FindEndpoint = (tried: ReadonlySet<string>, isLate: boolean) => Endpoint | undefined;
 
-/** The choices of one request. */
+/** The endpoint choices of one request. */
 export class EndpointChoice {
-  /** By incarnation, as all that is kept of endpoints. */
+  /** Incarnations of the endpoints that were tried. */
   private readonly tried = new Set<string>();
-  /** Endpoints whose node found that the request can't be answered within its target latency. */
-  private readonly refusers = new Set<string>();
-  /** Least time that an endpoint's node told for this class of work, in milliseconds. */
-  private leastServiceMs: number | undefined;
+  /** Incarnations whose node refused the request because it can't be answered within its target latency. */
+  private readonly refusingEndpoints = new Set<string>();
+  /** Lowest service time that an endpoint's node reported for this class of work, in milliseconds. */
+  private minServiceMs: number | undefined;
   private hasTurnedLate = false;
 
   /**
-   * `targetAtMs` is until when the answer should be there, undefined for a route without a target;
-   * `onLate` is told once, when the request turns late.
+   * `targetAtMs` is when the answer is due, undefined for a route without a target latency; `onLate` is called
+   * once, when the request becomes late.
    */
   constructor(
     private readonly targetAtMs: number | undefined,
     private readonly onLate: () => void,
   ) {}
 
-  /** Whether attempts ask for an answer before the deadline, since none is expected in time. */
+  /** Whether attempts only aim for the deadline, since the target latency can't be met any more. */
   get isLate(): boolean {
     return this.hasTurnedLate;
   }
 
-  /** An untried endpoint; once all have refused for lack of time, one of these again, for late work. */
+  /**
+   * Returns an untried endpoint. If none is left and the route has a target latency, the request becomes late and the
+   * endpoints that refused it for lack of time may be tried again.
+   */
   next(nowMs: number, find: FindEndpoint): Endpoint | undefined {
     this.checkTarget(nowMs);
     const endpoint = find(this.tried, this.isLate);
     if (endpoint !== undefined || this.isLate || this.targetAtMs === undefined) {
       return endpoint;
     }
-    this.becomeLate();
+    this.turnLate();
     return find(this.tried, this.isLate);
   }
 
-  /** An attempt at the endpoint begins. */
-  began(incarnation: string): void {
+  markTried(incarnation: string): void {
     this.tried.add(incarnation);
   }
 
-  /** The endpoint's node refused for lack of room or time. */
-  refusedBy(incarnation: string): void {
-    this.refusers.add(incarnation);
+  /** Records that the endpoint's node refused for lack of capacity or time. */
+  markRefused(incarnation: string): void {
+    this.refusingEndpoints.add(incarnation);
   }
 
-  /** An endpoint's node told how long this class of work takes there. */
-  noteServiceMs(serviceMs: number): void {
-    this.leastServiceMs = Math.min(this.leastServiceMs ?? Infinity, serviceMs);
+  /** Records the service time that an endpoint's node reported for this class of work. */
+  recordServiceMs(serviceMs: number): void {
+    this.minServiceMs = Math.min(this.minServiceMs ?? Infinity, serviceMs);
   }
 
-  /** Turns the request late as soon as no endpoint is expected to answer it within its target. */
+  /** Makes the request late once no endpoint is expected to answer it within its target latency. */
   checkTarget(nowMs: number): void {
     if (this.isLate || this.targetAtMs === undefined) {
       return;
     }
-    const finishAtMs = nowMs + (this.leastServiceMs ?? 0);
+    const finishAtMs = nowMs + (this.minServiceMs ?? 0);
     if (finishAtMs >= this.targetAtMs) {
-      this.becomeLate();
+      this.turnLate();
     }
   }
 
-  /** From now on attempts ask for late service, also of nodes that could not answer in time. */
-  private becomeLate(): void {
+  /** Makes the request late; nodes that could not answer in time may be tried again. */
+  private turnLate(): void {
     this.hasTurnedLate = true;
-    this.refusers.forEach((incarnation) => this.tried.delete(incarnation));
+    this.refusingEndpoints.forEach((incarnation) => this.tried.delete(incarnation));
     this.onLate();
   }
 }
--- a/src/proxy/endpoint-client.ts
+++ b/src/proxy/endpoint-client.ts
@@ -1,11 +1,11 @@
-/** Client of endpoints, in the words of an {@link EndpointProtocol}. */
+/** HTTP client for endpoints, over an {@link EndpointProtocol}. */
 import http, { type IncomingMessage } from 'node:http';
 import net from 'node:net';
 import { MACHINE_CLOCK } from '../clock/machine-clock.js';
 import { incarnationOf } from '../model/incarnation.js';
 import type { Endpoint } from '../model/resource.js';
 import type { Answer, Call, LoadReport } from './call.js';
-import type { AnswerReading, EndpointProtocol } from './endpoint-protocol.js';
+import type { ParsedAnswer, EndpointProtocol } from './endpoint-protocol.js';
 import {
   ExchangeAgent,
   startExchange,
@@ -16,28 +16,28 @@
 } from './http-exchange.js';
 import { EMPTY_BODY } from './request-body.js';
 
-/** How long the kept connections of an endpoint are distrusted after a fault of one, in milliseconds. */
-const DISTRUST_MS = 3_000;
-/** Connections to one endpoint for cancellations and health, besides those for requests. */
+/** How long pooled connections to an endpoint are not reused after a fault on one of them, in milliseconds. */
+const REUSE_SUSPENSION_MS = 3_000;
+/** Connections to one endpoint for cancellations and health checks, in addition to those for requests. */
 const MAX_CONTROL_CONNECTIONS = 4;
 const MAX_CANCEL_ANSWER_BYTES = 1_024;
-/** Longest answer that can be told to another node; a longer one is malformed. */
+/** Largest answer length that can be announced to another node; a longer answer is treated as malformed. */
 const MAX_ANSWER_BYTES = 2 ** 50;
 
-/** What an endpoint says of a cancelled request. */
+/** The outcome of a cancellation, as reported by the endpoint. */
 export type CancelOutcome =
-  /** It had not started and never will. */
+  /** The request had not started and never will. */
   | 'not-started'
-  /** It had started and was stopped without effect. */
+  /** The request had started and was stopped without effect. */
   | 'cancelled'
-  /** It had run to its end. */
+  /** The request had run to completion. */
   | 'finished'
-  /** The endpoint does not know it; it will never start from now on. */
+  /** The endpoint does not know the request and will never start it. */
   | 'unknown'
-  /** No confirmation could be had. */
+  /** The endpoint did not confirm any outcome. */
   | 'unconfirmed';
 
-/** Gets the endpoint's reaction: exactly one of the three, once, unless the exchange is aborted. */
+/** Receives exactly one of the three calls, once, unless the exchange is aborted. */
 export interface EndpointObserver {
   answered(answer: Answer): void;
   /** The endpoint refused the request before it started. */
@@ -49,11 +49,11 @@
   failed(failure: ExchangeFailure): void;
 }
 
-/** What a node needs of endpoints. */
-export interface EndpointPort {
-  /** Sends `call`; `remainingMs` is the time left to the endpoint. */
+/** The operations that a node performs on endpoints. */
+export interface EndpointConnector {
+  /** Sends `call`; `remainingMs` is the time left for the endpoint. */
   send(endpoint: Endpoint, call: Call, remainingMs: number, observer: EndpointObserver): Exchange;
-  /** Asks the endpoint to cancel; reports once, with `unconfirmed` after `timeoutMs`. */
+  /** Asks the endpoint to cancel the request; reports once, with `unconfirmed` after `timeoutMs`. */
   cancel(
     endpoint: Endpoint,
     requestId: string,
@@ -61,30 +61,30 @@
     report: (outcome: CancelOutcome) => void,
   ): void;
   /**
-   * Asks whether the endpoint still says that it drains; reports undefined without an answer. What
-   * it says of its health is not considered: requests show that.
+   * Asks whether the endpoint still reports that it is draining; reports undefined without an answer. Its
+   * reported health is ignored, since the outcome of requests shows it.
    */
   probeDraining(endpoint: Endpoint, report: (isDraining: boolean | undefined) => void): void;
   /**
-   * Asks whether a process listens at the endpoint's address, by a connection on which nothing is said;
-   * reports undefined where that can't be told in time.
+   * Checks whether a process listens at the endpoint's address by opening a connection without sending data;
+   * reports undefined if that can't be determined in time.
    */
   probeListening(endpoint: Endpoint, report: (isListening: boolean | undefined) => void): void;
 }
 
-/** Bounds of the exchanges with endpoints, in milliseconds. */
+/** Timeouts of the exchanges with endpoints, in milliseconds. */
 export interface EndpointClientLimits extends ExchangeLimits {
-  /** Time for which an idle connection is kept for another request. */
+  /** Idle timeout of a pooled connection. */
   readonly maxIdleEndpointConnectionMs: number;
 }
 
-/** Connections to the endpoints that a node reaches itself. */
-export class EndpointClient implements EndpointPort {
-  /** Until when each incarnation gets a new connection for each request, on the monotonic clock. */
-  private readonly distrustedUntilMs = new Map<string, number>();
-  private readonly unsharedAgent = new http.Agent({ keepAlive: false });
+/** Connections to the endpoints that a node reaches directly. */
+export class EndpointClient implements EndpointConnector {
+  /** By incarnation, until when each request gets a new connection, on the monotonic clock. */
+  private readonly reuseSuspendedUntilMs = new Map<string, number>();
+  private readonly singleUseAgent = new http.Agent({ keepAlive: false });
   private readonly agent: ExchangeAgent;
-  /** Cancellations must not wait behind the requests that they cancel. */
+  /** Separate from the request connections: a cancellation must not be queued behind the request that it cancels. */
   private readonly controlAgent = new ExchangeAgent(MAX_CONTROL_CONNECTIONS);
 
   constructor(
@@ -97,7 +97,7 @@
   send(endpoint: Endpoint, call: Call, remainingMs: number, observer: EndpointObserver): Exchange {
     const added = this.protocol.requestHeaders(endpoint, call, remainingMs);
     const request = {
-      ...placeOf(endpoint),
+      ...destinationOf(endpoint),
       method: call.method,
       target: call.target,
       headers: call.headers.concat(added),
@@ -106,10 +106,11 @@
       allowsUnframedAnswer: this.protocol.allowsUnframedAnswers,
     };
     return startExchange(this.agentFor(endpoint), request, {
-      answered: (message, isWhole) => this.takeAnswer(message, isWhole, endpoint, call, observer),
+      answered: (message, isComplete) =>
+        this.handleAnswer(message, isComplete, endpoint, call, observer),
       failed: (failure, wasReused) => {
         if (failure === 'lost' && wasReused) {
-          this.distrust(endpoint);
+          this.suspendReuse(endpoint);
         }
         observer.failed(failure);
       },
@@ -129,7 +130,7 @@
     }
     const { address, port } = endpoint.spec;
     const request = {
-      ...placeOf(endpoint),
+      ...destinationOf(endpoint),
       method: 'POST',
       target,
       headers: ['Host', `${address}:${port}`, 'Content-Length', '0'],
@@ -158,7 +159,7 @@
     }
     const { address, port } = endpoint.spec;
     const request = {
-      ...placeOf(endpoint),
+      ...destinationOf(endpoint),
       method: 'GET',
       target,
       headers: ['Host', `${address}:${port}`],
@@ -197,73 +198,72 @@
   }
 
   /**
-   * An endpoint that gave an answer to another request may have more of them on the way, and one that
-   * dropped a kept connection may have dropped others: for a while, each of its requests gets a
-   * connection of its own.
+   * Suspends connection reuse for a while, so that each request gets its own connection. An endpoint that sent an
+   * answer to a different request may send more of them, and one that dropped a pooled connection may have dropped
+   * others.
    */
-  private distrust(endpoint: Endpoint): void {
+  private suspendReuse(endpoint: Endpoint): void {
     const nowMs = MACHINE_CLOCK.now();
-    for (const [incarnation, untilMs] of this.distrustedUntilMs) {
+    for (const [incarnation, untilMs] of this.reuseSuspendedUntilMs) {
       if (untilMs <= nowMs) {
-        this.distrustedUntilMs.delete(incarnation);
+        this.reuseSuspendedUntilMs.delete(incarnation);
       }
     }
-    this.distrustedUntilMs.set(incarnationOf(endpoint), nowMs + DISTRUST_MS);
+    this.reuseSuspendedUntilMs.set(incarnationOf(endpoint), nowMs + REUSE_SUSPENSION_MS);
   }
 
   private agentFor(endpoint: Endpoint): http.Agent {
-    const untilMs = this.distrustedUntilMs.get(incarnationOf(endpoint)) ?? -Infinity;
-    return MACHINE_CLOCK.now() < untilMs ? this.unsharedAgent : this.agent;
+    const untilMs = this.reuseSuspendedUntilMs.get(incarnationOf(endpoint)) ?? -Infinity;
+    return MACHINE_CLOCK.now() < untilMs ? this.singleUseAgent : this.agent;
   }
 
-  /** Closes all connections. */
   close(): void {
-    this.unsharedAgent.destroy();
+    this.singleUseAgent.destroy();
     this.agent.destroy();
     this.controlAgent.destroy();
   }
 
-  private takeAnswer(
+  private handleAnswer(
     message: IncomingMessage,
-    isWhole: () => boolean,
+    isComplete: () => boolean,
     endpoint: Endpoint,
     call: Call,
     observer: EndpointObserver,
   ): void {
     const contentLength = contentLengthOf(message);
-    const isTooLong = contentLength !== undefined && contentLength > MAX_ANSWER_BYTES;
-    const reading: AnswerReading = isTooLong
+    const isTooLarge = contentLength !== undefined && contentLength > MAX_ANSWER_BYTES;
+    const parsed: ParsedAnswer = isTooLarge
       ? { kind: 'malformed' }
       : this.protocol.readAnswer(message, call);
-    switch (reading.kind) {
+    switch (parsed.kind) {
       case 'malformed':
-        this.distrust(endpoint);
+        this.suspendReuse(endpoint);
         message.destroy();
         observer.failed('malformed');
         return;
       case 'refused':
         message.resume();
-        observer.refused(reading.load, reading.retryAfterMs, reading.isOtherEndpoint);
+        observer.refused(parsed.load, parsed.retryAfterMs, parsed.isOtherEndpoint);
         return;
       case 'answer':
         observer.answered({
           status: message.statusCode ?? 0,
-          headers: reading.headers,
-          body: { kind: 'streamed', stream: message, isWhole },
+          headers: parsed.headers,
+          body: { kind: 'streamed', stream: message, isComplete },
           contentLength,
-          load: reading.load,
+          load: parsed.load,
         });
     }
   }
 }
 
-/** Where an endpoint is reached; connections to an incarnation before are not used for it. */
-function placeOf(endpoint: Endpoint): Pick<ExchangeRequest, 'host' | 'port' | 'peerProcess'> {
+/** The network destination of an endpoint; connections to earlier incarnations are not reused for it. */
+function destinationOf(endpoint: Endpoint): Pick<ExchangeRequest, 'host' | 'port' | 'peerProcess'> {
   const { address: host, port } = endpoint.spec;
   return { host, port, peerProcess: incarnationOf(endpoint) };
 }
 
-/** The declared length of an answer; undefined for a chunked one. */
+/** The declared length of an answer; undefined for a chunked answer. */
 function contentLengthOf(message: IncomingMessage): number | undefined {
   const text = message.headers['content-length'];
   return text === undefined ? undefined : Number(text);
@@ -282,8 +282,8 @@
     }
   });
   message.on('close', () => {
-    const isWhole = message.complete && message.statusCode === 200;
-    report(isWhole ? parseCancelOutcome(text) : 'unconfirmed');
+    const isComplete = message.complete && message.statusCode === 200;
+    report(isComplete ? parseCancelOutcome(text) : 'unconfirmed');
   });
   message.on('error', () => report('unconfirmed'));
 }
--- a/src/proxy/endpoint-gate.ts
+++ b/src/proxy/endpoint-gate.ts
@@ -15,57 +15,61 @@
 import { FailureShare } from '../routing/failure-share.js';
 import { admissionError, containedError } from './attempt-errors.js';
 import type { Attempt, AttemptObserver, Call, LoadReport } from './call.js';
-import type { EndpointPort } from './endpoint-client.js';
-import { closedReasonOf, coldNewsOf, type EndpointTerms } from './endpoint-terms.js';
+import type { EndpointConnector } from './endpoint-client.js';
+import {
+  closedReasonOf,
+  coldStateUpdateOf,
+  type EndpointGateConfig,
+} from './endpoint-gate-config.js';
 import { GatedCall, type CallGate, type CancelLead } from './gated-call.js';
 import { LossJudge } from './loss-judge.js';
 import type { RequestError } from './request-error.js';
 import { namedFingerprint, type RequestLog } from './request-log.js';
 import type { CancelTimer, Scheduler } from './scheduler.js';
 
-/** What gates share. */
+/** Options shared by all gates of a node. */
 export interface GateOptions {
-  readonly client: EndpointPort;
+  readonly client: EndpointConnector;
   readonly counters: CounterSink;
   readonly scheduler: Scheduler;
-  /** What is known of requests under which endpoints ended; nothing is learnt of them when absent. */
+  /** Tracks requests that are suspected of crashing endpoints; none are tracked when absent. */
   readonly containment?: CallContainment;
-  /** Requests that wait for one endpoint at most. */
+  /** Maximum number of requests that are queued for one endpoint. */
   readonly maxQueuedPerEndpoint: number;
-  /** The same, for each slot of the endpoint; the default of admission when absent. */
+  /** Maximum number of queued requests per slot of the endpoint; the default of admission when absent. */
   readonly maxQueuedPerSlot?: number;
   readonly cancelLead: CancelLead;
   readonly requestLog?: RequestLog;
-  /** Gets the time that an endpoint took for each whole answer, in milliseconds. */
+  /** Called with the service time of each complete answer, in milliseconds. */
   readonly onEndpointMs?: (ms: number) => void;
-  /** Writes one line on a change of state. */
+  /** Logs a change of state. */
   readonly logStateChange: (what: string, detail: string) => void;
 }
 
-/** A refusal as the log has it. */
+/** A refusal as written to the log. */
 type RecordedRefusal = Omit<Refusal, 'reason'> & {
   readonly reason: Refusal['reason'] | 'contained';
 };
 
-/** The slots of one incarnation of an endpoint and the requests for them. */
+/** The slots of one incarnation of an endpoint and the requests that are queued for or occupy them. */
 export class EndpointGate implements CallGate {
   private readonly admission: EndpointAdmission;
-  private readonly meter: ColdMeter;
+  private readonly coldStartLimiter: ColdMeter;
   private cancelResume: CancelTimer | undefined;
-  /** The endpoint as the configuration had it last. */
-  private configured: Endpoint | undefined;
+  /** The endpoint as last configured. */
+  private lastConfigured: Endpoint | undefined;
   private readonly calls = new Map<string, GatedCall>();
-  private readonly failures = new FailureShare();
+  private readonly failureShare = new FailureShare();
   private readonly containment: CallContainment;
-  private readonly losses: LossJudge<GatedCall>;
-  private readonly lane = new SuspectLane();
-  /** Requests under suspicion that wait until others of them are over. */
-  private readonly heldBack = new Set<GatedCall>();
+  private readonly exitDetector: LossJudge<GatedCall>;
+  private readonly suspectLimiter = new SuspectLane();
+  /** Suspected requests that wait until other suspected requests have ended. */
+  private readonly deferredSuspects = new Set<GatedCall>();
   private isProbing = false;
   private isDrainedByEndpoint = false;
   private closedByConfiguration: ClosedReason | undefined;
 
-  /** `startedAtMs` is when this node began. */
+  /** `startedAtMs` is when this node started. */
   constructor(
     readonly endpoint: Endpoint,
     private slots: number,
@@ -73,33 +77,33 @@
     startedAtMs = -Infinity,
   ) {
     const { maxQueuedPerEndpoint, maxQueuedPerSlot } = options;
-    this.meter = new ColdMeter(startedAtMs);
+    this.coldStartLimiter = new ColdMeter(startedAtMs);
     this.admission = new EndpointAdmission(
       slots,
       maxQueuedPerEndpoint,
       maxQueuedPerSlot,
-      this.meter,
+      this.coldStartLimiter,
     );
     this.containment = options.containment ?? NO_CONTAINMENT;
-    this.losses = new LossJudge({
-      atWork: () => [...this.calls.values()].filter((one) => one.isAtWork()).reverse(),
+    this.exitDetector = new LossJudge({
+      atWork: () => [...this.calls.values()].filter((gated) => gated.isAtWork()).reverse(),
       probeListening: (report) => options.client.probeListening(endpoint, report),
       schedule: (delayMs, action) => options.scheduler.schedule(delayMs, action),
-      onEnd: (work) => this.takeEnd(work),
+      onEnd: (requests) => this.handleProcessExit(requests),
     });
   }
 
-  /** Whether no request waits or runs. */
+  /** Whether no request is queued or running. */
   get isIdle(): boolean {
     return this.calls.size === 0;
   }
 
-  /** Requests that wait for a slot. */
+  /** The number of requests that wait for a slot. */
   get waitingCount(): number {
-    return this.admission.waitingCount + this.heldBack.size;
+    return this.admission.waitingCount + this.deferredSuspects.size;
   }
 
-  /** Requests that wait or run. */
+  /** The number of requests that are queued or running. */
   get inFlight(): number {
     return this.admission.runningCount + this.waitingCount;
   }
@@ -109,7 +113,7 @@
       inFlight: this.inFlight,
       slots: this.slots,
       draining: this.admission.closedReason === 'draining',
-      failureShare: this.failures.at(this.options.scheduler.now()),
+      failureShare: this.failureShare.at(this.options.scheduler.now()),
       serviceMs: this.admission.serviceMs(workClass),
     };
   }
@@ -121,7 +125,7 @@
     return gated;
   }
 
-  /** Keeps a place for a call whose body is to come; the error, and a line in the log, when it has none. */
+  /** Reserves capacity for a call whose body has yet to arrive; without capacity, logs and returns the refusal. */
   reserve(call: Call, arrival: BodyArrival): RequestError | undefined {
     const refusal = this.admission.reserve(call, arrival, this.options.scheduler.now());
     if (refusal === undefined) {
@@ -138,9 +142,9 @@
 
   withdraw(call: Call): boolean {
     const gated = this.calls.get(call.requestId);
-    const wasWaiting = gated !== undefined && this.takeOut(gated);
+    const wasWaiting = gated !== undefined && this.removeWaiting(gated);
     if (wasWaiting) {
-      this.leaveLane(call.requestId);
+      this.releaseSuspect(call.requestId);
     }
     return wasWaiting;
   }
@@ -156,20 +160,20 @@
       this.options.onEndpointMs?.(serviceMs);
     }
     this.execute(this.admission.release(call.requestId, this.options.scheduler.now(), serviceMs));
-    this.leaveLane(call.requestId);
+    this.releaseSuspect(call.requestId);
   }
 
   gaveUp({ workClass }: Call, elapsedMs: number): void {
     this.admission.unfinished(workClass, elapsedMs);
   }
 
-  judgeLoss(gated: GatedCall, report: (hasEnded: boolean) => void): void {
-    this.losses.lost(gated, report);
+  judgeLoss(gated: GatedCall, report: (hasExited: boolean) => void): void {
+    this.exitDetector.lost(gated, report);
   }
 
-  /** A fault clears nobody: a request may fail in one place and end the process in another. */
+  /** An error answer clears no suspicion: a request may fail on one endpoint and crash another. */
   answeredWhole(gated: GatedCall, isSuccess: boolean): void {
-    this.losses.answered(gated);
+    this.exitDetector.answered(gated);
     if (isSuccess) {
       this.containment.answered(gated.call);
     }
@@ -186,7 +190,7 @@
   }
 
   takeOutcome(hasFailed: boolean): void {
-    this.failures.take(hasFailed, this.options.scheduler.now());
+    this.failureShare.take(hasFailed, this.options.scheduler.now());
   }
 
   takeRefusal(load: LoadReport | undefined): void {
@@ -194,12 +198,12 @@
     this.admission.endpointRefused();
   }
 
-  /** Takes what the configuration says; an endpoint that is gone from it drains. */
-  configure({ endpoint, slots, coldStart, coldShare }: EndpointTerms): void {
-    this.meter.configure(coldStart, coldShare);
-    if (endpoint !== this.configured) {
-      this.takeColdNews(endpoint);
-      this.configured = endpoint;
+  /** Applies the configuration; a removed endpoint is drained. */
+  configure({ endpoint, slots, coldStart, coldShare }: EndpointGateConfig): void {
+    this.coldStartLimiter.configure(coldStart, coldShare);
+    if (endpoint !== this.lastConfigured) {
+      this.applyColdStateUpdate(endpoint);
+      this.lastConfigured = endpoint;
     }
     this.closedByConfiguration = closedReasonOf(endpoint);
     this.updateClosed();
@@ -209,29 +213,29 @@
     }
   }
 
-  /** Whether the endpoint is cold, as far as this node knows. */
+  /** Whether the endpoint is cold, to the knowledge of this node. */
   get isCold(): boolean {
-    return this.options.scheduler.now() < this.meter.coldUntil;
+    return this.options.scheduler.now() < this.coldStartLimiter.coldUntil;
   }
 
   /**
-   * The endpoint has started again: what waits here has not run, and waits at the gate of the new incarnation
-   * from now on. What runs is left alone: the process that it was sent to takes its connections with it.
+   * Moves the queued requests, which have not run, to the gate of the new incarnation after the endpoint has
+   * restarted. Running requests stay, since their connections close with the process that they were sent to.
    */
   handOver(next: EndpointGate): void {
-    const waiting = [...this.calls.values()].filter((gated) => this.takeOut(gated));
+    const waiting = [...this.calls.values()].filter((gated) => this.removeWaiting(gated));
     this.admission.handOverPlaces(next.admission);
     if (startedBefore(this.endpoint, next.endpoint)) {
-      this.losses.succeeded();
+      this.exitDetector.succeeded();
     }
     for (const gated of waiting) {
-      this.lane.leave(gated.call.requestId);
+      this.suspectLimiter.leave(gated.call.requestId);
       gated.moveTo(next, next.endpoint);
       next.admit(gated);
     }
   }
 
-  /** Asks an endpoint that said that it drains whether it still does. */
+  /** Asks an endpoint that reported draining whether it still is. */
   probeDraining(): void {
     if (!this.isDrainedByEndpoint || this.isProbing) {
       return;
@@ -253,26 +257,26 @@
     gated.waitUntil(this.admission.latestStartAtMs(call, this.options.scheduler.now()));
   }
 
-  /** Whether the request waited here; it does no more. */
-  private takeOut(gated: GatedCall): boolean {
+  /** Removes the request if it is queued; returns whether it was. */
+  private removeWaiting(gated: GatedCall): boolean {
     const { requestId, callerNode } = gated.call;
     const wasWaiting =
-      this.heldBack.delete(gated) || this.admission.withdraw(requestId, callerNode);
+      this.deferredSuspects.delete(gated) || this.admission.withdraw(requestId, callerNode);
     if (wasWaiting) {
       this.calls.delete(requestId);
     }
     return wasWaiting;
   }
 
-  /** A draining endpoint is expected to end: nothing is learnt from that. */
-  private takeEnd(work: readonly GatedCall[]): void {
+  /** The exit of a draining endpoint is expected, so no request is suspected of causing it. */
+  private handleProcessExit(requests: readonly GatedCall[]): void {
     if (this.admission.closedReason !== 'draining') {
-      const calls = work.map(({ call }) => call);
+      const calls = requests.map(({ call }) => call);
       this.containment.endpointEnded(this.endpoint.name, calls);
     }
   }
 
-  /** Admits a request, holds it back while others under suspicion are at work, or refuses it. */
+  /** Admits a request, defers it while other suspected requests are running, or refuses it. */
   private offer(gated: GatedCall): void {
     const { call } = gated;
     const { containment } = this;
@@ -283,19 +287,19 @@
     }
     const fingerprint = standing === 'clear' ? '' : containment.fingerprintOf(call);
     const request = { standing, fingerprint };
-    if (this.lane.admits(request, this.slots)) {
-      this.lane.enter(call.requestId, request);
+    if (this.suspectLimiter.admits(request, this.slots)) {
+      this.suspectLimiter.enter(call.requestId, request);
       this.execute(this.admission.offer(call, this.options.scheduler.now()));
     } else {
-      this.heldBack.add(gated);
+      this.deferredSuspects.add(gated);
     }
   }
 
-  /** Looks again at what is held back once a request under suspicion is over. */
-  private leaveLane(requestId: string): void {
-    if (this.lane.leave(requestId)) {
-      const waiting = [...this.heldBack];
-      this.heldBack.clear();
+  /** Retries admission of the deferred requests once a suspected request has ended. */
+  private releaseSuspect(requestId: string): void {
+    if (this.suspectLimiter.leave(requestId)) {
+      const waiting = [...this.deferredSuspects];
+      this.deferredSuspects.clear();
       waiting.forEach((gated) => this.offer(gated));
     }
   }
@@ -306,7 +310,7 @@
     this.options.counters.add('ferryspool_contained_refusals_total');
     this.recordRefusal({ requestId: call.requestId, reason: 'contained', retryAfterMs }, call);
     this.calls.delete(call.requestId);
-    this.leaveLane(call.requestId);
+    this.releaseSuspect(call.requestId);
     gated.refuse(containedError(retryAfterMs));
   }
 
@@ -318,17 +322,17 @@
     }
   }
 
-  private takeColdNews(endpoint: Endpoint | undefined): void {
-    const news = coldNewsOf(endpoint, this.configured);
+  private applyColdStateUpdate(endpoint: Endpoint | undefined): void {
+    const update = coldStateUpdateOf(endpoint, this.lastConfigured);
     const nowMs = this.options.scheduler.now();
-    if (news?.kind === 'told') {
-      this.meter.takeNews(news.coldForMs, nowMs);
-    } else if (news !== undefined) {
-      this.meter.presumeCold(nowMs);
+    if (update?.kind === 'told') {
+      this.coldStartLimiter.takeNews(update.coldForMs, nowMs);
+    } else if (update !== undefined) {
+      this.coldStartLimiter.presumeCold(nowMs);
     }
   }
 
-  /** What waits for the sake of a cold endpoint is sent as soon as that bears it. */
+  /** Schedules the dispatch of requests that are queued because the endpoint is cold. */
   private scheduleResume(): void {
     this.cancelResume?.();
     const { scheduler } = this.options;
@@ -395,15 +399,15 @@
         this.recordRefusal(effect, gated?.call);
         this.calls.delete(effect.requestId);
         gated?.refuse(admissionError(effect.reason, effect.retryAfterMs));
-        this.leaveLane(effect.requestId);
+        this.releaseSuspect(effect.requestId);
       }
     }
-    if (this.isHeldForCold || this.cancelResume !== undefined) {
+    if (this.isThrottledByColdStart || this.cancelResume !== undefined) {
       this.scheduleResume();
     }
   }
 
-  private get isHeldForCold(): boolean {
+  private get isThrottledByColdStart(): boolean {
     return this.admission.resumesInMs(this.options.scheduler.now()) !== undefined;
   }
 }
--- a/src/proxy/endpoint-protocol.ts
+++ b/src/proxy/endpoint-protocol.ts
@@ -1,7 +1,7 @@
 /**
- * How a node and endpoints speak to each other: header names, refusals, load reports and
- * cancellation. The product's own protocol stands here; an adapter may bring another one. A protocol
- * only names and formats, it decides nothing.
+ * The protocol between a node and endpoints: header names, refusals, load reports and cancellation.
+ * The native protocol is defined here; an adapter may provide another one. A protocol only names and
+ * formats, it makes no decisions.
  */
 import type { IncomingMessage } from 'node:http';
 import type { Endpoint } from '../model/resource.js';
@@ -15,19 +15,19 @@
 const LOAD_HEADER = 'x-load';
 const DRAINING_HEADER = 'x-draining';
 const RETRY_AFTER_HEADER = 'retry-after';
-/** Headers of answers that are meant for the node alone. */
+/** Headers of answers that are meant only for the node. */
 const NODE_HEADERS: ReadonlySet<string> = new Set([
   REQUEST_ID_HEADER,
   NOT_STARTED_HEADER,
   LOAD_HEADER,
   DRAINING_HEADER,
 ]);
-/** Statuses of refusals: no room or a drain, and a deadline that is too near. */
+/** Statuses of refusals: 503 for no capacity or draining, 504 for a deadline that can't be met. */
 const REFUSED_STATUSES: ReadonlySet<number> = new Set([503, 504]);
 
-/** What the head of an answer says. */
-export type AnswerReading =
-  /** An answer to the request, with the headers to pass on. */
+/** The parsed head of an answer. */
+export type ParsedAnswer =
+  /** An answer to the request, with the headers to forward. */
   | {
       readonly kind: 'answer';
       readonly headers: HeaderList;
@@ -38,33 +38,33 @@
       readonly kind: 'refused';
       readonly load: LoadReport | undefined;
       readonly retryAfterMs: number | undefined;
-      /** Whether another process answers at the endpoint's address: the endpoint is gone. */
+      /** Whether a different process answers at the endpoint's address: the endpoint no longer exists. */
       readonly isOtherEndpoint: boolean;
     }
-  /** Not an answer to this request. */
+  /** The message is not an answer to this request. */
   | { readonly kind: 'malformed' };
 
-/** Names and forms of one kind of endpoints. */
+/** Header names and formats for one kind of endpoint. */
 export interface EndpointProtocol {
-  /** Headers added to a request; `remainingMs` is the time left to the endpoint. */
+  /** Headers added to a request; `remainingMs` is the time left for the endpoint. */
   requestHeaders(endpoint: Endpoint, call: Call, remainingMs: number): HeaderList;
-  readAnswer(message: IncomingMessage, call: Call): AnswerReading;
-  /** Path that cancels a request; undefined where only closing its connection does. */
+  readAnswer(message: IncomingMessage, call: Call): ParsedAnswer;
+  /** Path that cancels a request; undefined if only closing its connection cancels it. */
   cancelTarget(requestId: string): string | undefined;
-  /** Path that tells whether the endpoint drains; undefined where only the configuration does. */
+  /** Path that reports whether the endpoint is draining; undefined if only the configuration does. */
   readonly drainProbeTarget: string | undefined;
-  /** What an answer of the drain probe says; undefined when it says nothing. */
+  /** Parses the answer of the drain probe; undefined if it does not report draining. */
   readDraining(message: IncomingMessage): boolean | undefined;
-  /** Whether an answer without a length may end with its connection. */
+  /** Whether an answer without framing may be terminated by the close of its connection. */
   readonly allowsUnframedAnswers: boolean;
   /**
    * Time after which a request whose connection was closed no longer occupies its slot, in
-   * milliseconds; undefined where only the request's deadline frees it.
+   * milliseconds; undefined if the slot is freed only by the request's deadline.
    */
   readonly slotFreedAfterCloseMs: number | undefined;
 }
 
-/** The product's own protocol. */
+/** The native protocol. */
 export const NATIVE_ENDPOINT_PROTOCOL: EndpointProtocol = {
   requestHeaders: (_endpoint, call, remainingMs) => [
     REQUEST_ID_HEADER,
@@ -82,7 +82,7 @@
   slotFreedAfterCloseMs: undefined,
 };
 
-function readNativeAnswer(message: IncomingMessage, call: Call): AnswerReading {
+function readNativeAnswer(message: IncomingMessage, call: Call): ParsedAnswer {
   const { headers } = message;
   const answeredId = headers[REQUEST_ID_HEADER];
   if (answeredId !== undefined && answeredId !== call.requestId) {
@@ -96,7 +96,7 @@
   return { kind: 'answer', headers: messageHeaders(message.rawHeaders, NODE_HEADERS), load };
 }
 
-/** `Retry-After` in milliseconds; dates are not taken. */
+/** `Retry-After` in milliseconds; dates are not supported. */
 export function parseRetryAfter(text: string | undefined): number | undefined {
   const seconds = parseMilliseconds(text);
   return seconds === undefined ? undefined : seconds * 1_000;
--- a/src/proxy/endpoint-states.ts
+++ b/src/proxy/endpoint-states.ts
@@ -1,14 +1,14 @@
-/** Endpoints as the request path of one node sees them, for the status page. */
+/** The state of endpoints as observed by the request path of one node, for the status page. */
 import type { Endpoint } from '../model/resource.js';
 import type { Snapshot } from '../model/snapshot.js';
 import type { EndpointSight } from '../routing/endpoint-selector.js';
 
 /**
- * - `ready`: may get new work.
- * - `draining`: by configuration, by its own word, or because its machine is leaving.
- * - `evacuated`: its zone gets no new work.
- * - `ejected`: it failed this node's requests; it is probed.
- * - `unreachable`: its node is dead or unknown, and this node has no share of it.
+ * - `ready`: accepts new work.
+ * - `draining`: by configuration, by its own report, or because its machine is leaving the fleet.
+ * - `evacuated`: its zone receives no new work.
+ * - `ejected`: it failed this node's requests and is being probed.
+ * - `unreachable`: its node is dead or unknown, and this node has no share of the endpoint's slots.
  */
 export type EndpointState = 'ready' | 'draining' | 'evacuated' | 'ejected' | 'unreachable';
 
@@ -17,47 +17,47 @@
   readonly name: string;
   readonly service: string;
   readonly state: EndpointState;
-  /** Requests of this node that are under way there. */
+  /** Requests of this node in flight at the endpoint. */
   readonly inFlight: number;
-  /** Requests that wait for it at this node. */
+  /** Requests that are queued for the endpoint at this node. */
   readonly queued: number;
 }
 
-/** What the parts of the request path know of an endpoint. */
-export interface EndpointKnowledge {
-  sightOf(endpoint: Endpoint): EndpointSight | undefined;
-  /** Whether the machine's node has said that it leaves. */
+/** What the components of the request path know about an endpoint. */
+export interface EndpointStateSource {
+  observationOf(endpoint: Endpoint): EndpointSight | undefined;
+  /** Whether the machine's node has announced that it is leaving the fleet. */
   isLeaving(endpoint: Endpoint): boolean;
-  /** Whether this node has a way to the endpoint. */
+  /** Whether this node can reach the endpoint, directly or through another node. */
   isReachable(endpoint: Endpoint): boolean;
   waitingFor(endpoint: Endpoint): number;
 }
 
-/** Reports every endpoint of a snapshot. */
+/** Reports the state of every endpoint of a snapshot. */
 export function reportEndpointStates(
   snapshot: Snapshot,
-  knowledge: EndpointKnowledge,
+  source: EndpointStateSource,
 ): EndpointStateReport[] {
   return [...snapshot.endpointsByService.values()].flat().map((endpoint) => ({
     name: endpoint.name,
     service: endpoint.spec.service,
-    state: stateOf(endpoint, knowledge),
-    inFlight: knowledge.sightOf(endpoint)?.inFlight ?? 0,
-    queued: knowledge.waitingFor(endpoint),
+    state: stateOf(endpoint, source),
+    inFlight: source.observationOf(endpoint)?.inFlight ?? 0,
+    queued: source.waitingFor(endpoint),
   }));
 }
 
-function stateOf(endpoint: Endpoint, knowledge: EndpointKnowledge): EndpointState {
-  const sight = knowledge.sightOf(endpoint);
-  const isDrained = endpoint.spec.state === 'draining' || sight?.isDraining === true;
-  if (isDrained || knowledge.isLeaving(endpoint)) {
+function stateOf(endpoint: Endpoint, source: EndpointStateSource): EndpointState {
+  const observation = source.observationOf(endpoint);
+  const isDrained = endpoint.spec.state === 'draining' || observation?.isDraining === true;
+  if (isDrained || source.isLeaving(endpoint)) {
     return 'draining';
   }
   if (endpoint.isEvacuated === true) {
     return 'evacuated';
   }
-  if (!knowledge.isReachable(endpoint)) {
+  if (!source.isReachable(endpoint)) {
     return 'unreachable';
   }
-  return sight?.isEjected === true ? 'ejected' : 'ready';
+  return observation?.isEjected === true ? 'ejected' : 'ready';
 }
--- a/src/proxy/error-answer.ts
+++ b/src/proxy/error-answer.ts
@@ -2,7 +2,7 @@
 import type { ServerResponse } from 'node:http';
 import type { ErrorAnswer } from './caller-protocol.js';
 
-/** Sends `answer` whole. What still arrives of the request is read and dropped. */
+/** Sends `answer` in full. Request data that still arrives is read and discarded. */
 export function sendError(response: ServerResponse, answer: ErrorAnswer): void {
   response.writeHead(answer.status, [
     ...answer.headers,
--- a/src/proxy/expiry-failure.ts
+++ b/src/proxy/expiry-failure.ts
@@ -1,4 +1,4 @@
-/** What a request is told whose deadline has passed. */
+/** The error for a request whose deadline has passed. */
 import {
   BodyTooSlowError,
   DeadlinePassedError,
@@ -6,12 +6,12 @@
   type RequestError,
 } from './request-error.js';
 
-/** `hasBody` says that its body arrived, `isUnsent` that the endpoint has provably not got it. */
+/** `hasBody`: the body has arrived; `isUnsent`: the endpoint has provably not received the request. */
 export function expiryFailure(hasBody: boolean, isUnsent: boolean): RequestError {
   if (!hasBody) {
-    return new BodyTooSlowError('the body did not arrive before the deadline');
+    return new BodyTooSlowError('the request body did not arrive before the deadline');
   }
   return isUnsent
-    ? new DeadlinePassedError('the deadline passed before the request was sent on')
-    : new TimedOutError('no answer before the deadline');
+    ? new DeadlinePassedError('the deadline passed before the request was forwarded')
+    : new TimedOutError('no answer was received before the deadline');
 }
--- a/src/proxy/gated-call.ts
+++ b/src/proxy/gated-call.ts
@@ -11,7 +11,7 @@
   type EndpointAttemptEffect,
   type EndpointAttemptEvent,
 } from './endpoint-attempt.js';
-import type { EndpointPort } from './endpoint-client.js';
+import type { EndpointConnector } from './endpoint-client.js';
 import type { Exchange, ExchangeFailure } from './http-exchange.js';
 import type { EndpointWork } from './loss-judge.js';
 import { refusalLeadMs } from './refusal-lead.js';
@@ -79,7 +79,7 @@
 
   constructor(
     private gate: CallGate,
-    private readonly client: EndpointPort,
+    private readonly client: EndpointConnector,
     private endpoint: Endpoint,
     readonly call: Call,
     private readonly observer: AttemptObserver,
@@ -191,7 +191,7 @@
       this.endAnswer(answer.status, true);
       return;
     }
-    body.stream.once('close', () => this.endAnswer(answer.status, body.isWhole()));
+    body.stream.once('close', () => this.endAnswer(answer.status, body.isComplete()));
     this.handle({ type: 'answered' });
   }
 
--- a/src/proxy/kept-answer.ts
+++ b/src/proxy/kept-answer.ts
@@ -25,7 +25,7 @@
   });
   body.stream.on('error', () => undefined);
   body.stream.once('close', () => {
-    if (body.isWhole() && sizeBytes <= maxBytes) {
+    if (body.isComplete() && sizeBytes <= maxBytes) {
       keep({ ...answer, body: { kind: 'held', bytes: Buffer.concat(chunks) } });
     }
   });
--- a/src/proxy/malformed-request.ts
+++ b/src/proxy/malformed-request.ts
@@ -35,11 +35,11 @@
       return;
     }
     taken.add(socket);
-    if (connections.hasOpenRequest(socket) && !connections.hasWholeRequest(socket)) {
+    if (connections.hasOpenRequest(socket) && !connections.hasCompleteRequest(socket)) {
       socket.destroy();
       return;
     }
-    connections.closesAfterAnswer(socket);
+    connections.markClosing(socket);
     connections.onceAnswered(socket, () => {
       // A request whose body is broken is still open: it would take the answer for its own.
       if (!connections.hasOpenRequest(socket) && socket.writable) {
--- a/src/proxy/relay/frame-sink.ts
+++ b/src/proxy/relay/frame-sink.ts
@@ -1,6 +1,6 @@
 /** An answer's way to a peer. */
 import { EventEmitter } from 'node:events';
-import type { AnswerSink } from '../answer-relay.js';
+import type { AnswerSink } from '../answer-forwarding.js';
 import type { Answer } from '../call.js';
 import { RelayBodyWriter } from './relay-body.js';
 import { frameLoadOf, NO_LOAD } from './relay-load.js';
--- a/src/proxy/relay/relayed-attempt.ts
+++ b/src/proxy/relay/relayed-attempt.ts
@@ -180,7 +180,7 @@
     const { status, headers, isHeld, bytes, contentLengthBytes: contentLength } = frame;
     const body: AnswerBody = isHeld ? { kind: 'held', bytes } : this.openReader();
     if (body.kind === 'streamed' && frame.isNodeStopping) {
-      body.collect?.(Math.min(contentLength ?? MAX_LAST_BYTES, MAX_LAST_BYTES));
+      body.extendWindow?.(Math.min(contentLength ?? MAX_LAST_BYTES, MAX_LAST_BYTES));
     }
     const answer: Answer = { status, headers, body, contentLength, load: loadOf(frame) };
     if (isHeld) {
@@ -197,8 +197,8 @@
     return {
       kind: 'streamed',
       stream: reader,
-      isWhole: () => reader.complete,
-      collect: (bytes) => reader.widen(bytes),
+      isComplete: () => reader.complete,
+      extendWindow: (bytes) => reader.widen(bytes),
     };
   }
 
--- a/src/proxy/relay/relayed-request.ts
+++ b/src/proxy/relay/relayed-request.ts
@@ -1,7 +1,7 @@
 /** One request of a peer at the node that owns the endpoint. */
 import type { BodyArrival } from '../../admission/endpoint-admission.js';
 import type { Endpoint } from '../../model/resource.js';
-import { passAnswer } from '../answer-relay.js';
+import { forwardAnswer } from '../answer-forwarding.js';
 import type { Answer, Attempt, AttemptObserver, Call, EndpointPath, LoadReport } from '../call.js';
 import { EMPTY_BODY, HeldBody, StreamedBody, type RequestBody } from '../request-body.js';
 import { refusalLeadMs } from '../refusal-lead.js';
@@ -168,14 +168,14 @@
     const load = answer.load && this.withBodyTime(answer.load);
     const sink = new FrameSink(this.streamId, { ...answer, load }, this.link);
     this.sink = sink;
-    passAnswer(
+    forwardAnswer(
       answer,
       sink,
       [...answer.headers],
-      { holdBytes: 0 },
+      { maxBufferedBytes: 0 },
       {
-        whole: () => sink.whenSent(() => this.end()),
-        broken: (wasPassedOn) => {
+        completed: () => sink.whenSent(() => this.end()),
+        truncated: (wasPassedOn) => {
           sink.destroy();
           this.breakAnswer(wasPassedOn, answer.load);
         },
--- a/src/proxy/request-attempt.ts
+++ b/src/proxy/request-attempt.ts
@@ -4,7 +4,7 @@
 import { AttemptedEndpoint } from './attempted-endpoint.js';
 import type { AwaitedAttempt } from './awaited-attempts.js';
 import { AwaitedPeer } from './awaited-peer.js';
-import type { Answer, Attempt, LoadReport, SilenceSign } from './call.js';
+import type { Answer, Attempt, LoadReport, AttemptSuspicion } from './call.js';
 import type { RequestContext } from './request-context.js';
 import type { RequestError } from './request-error.js';
 
@@ -13,7 +13,7 @@
   readonly endpoint: AttemptedEndpoint;
   answer: Answer | undefined;
   /** Why its answer was last in doubt; undefined where it never was. */
-  sign: SilenceSign | undefined;
+  sign: AttemptSuspicion | undefined;
   private readonly peer: AwaitedPeer;
   private submitted: Attempt | undefined;
 
@@ -25,9 +25,9 @@
     private readonly onSilence: (attempt: RequestAttempt) => void,
   ) {
     this.endpoint = new AttemptedEndpoint(context);
-    this.endpoint.began(endpoint);
+    this.endpoint.attemptStarted(endpoint);
     this.peer = new AwaitedPeer(context.services, this);
-    this.peer.awaitFor(endpoint, this.endpoint.startedAtMs);
+    this.peer.startAwaiting(endpoint, this.endpoint.startedAtMs);
   }
 
   /** Whether the node beside the endpoint owes the answer. */
@@ -44,12 +44,12 @@
     return this.submitted?.isUnsent() === true;
   }
 
-  peerIsSilent(): void {
+  peerUnresponsive(): void {
     this.suspected({ silent: 'peer' });
   }
 
   /** An answer that has begun shows that the way works. */
-  suspected(sign: SilenceSign): void {
+  suspected(sign: AttemptSuspicion): void {
     if (this.answer === undefined) {
       this.sign = sign;
       this.onSilence(this);
@@ -58,14 +58,14 @@
 
   answered(answer: Answer): void {
     this.answer = answer;
-    this.peer.hasAnswered();
+    this.peer.answerReceived();
     this.endpoint.observeLoad(answer.load, undefined);
   }
 
   failed(error: RequestError, load: LoadReport | undefined): void {
     this.endpoint.observeLoad(load, error);
     if (load !== undefined) {
-      this.peer.hasAnswered();
+      this.peer.answerReceived();
     }
   }
 
@@ -78,11 +78,11 @@
 
   /** Nobody waits for the answer's peer any more. */
   stopAwaiting(): void {
-    this.peer.stop();
+    this.peer.stopAwaiting();
   }
 
   ended(outcome: AttemptOutcome): void {
-    this.peer.stop();
-    this.endpoint.ended(outcome);
+    this.peer.stopAwaiting();
+    this.endpoint.attemptEnded(outcome);
   }
 }
--- a/src/proxy/request-context.ts
+++ b/src/proxy/request-context.ts
@@ -2,7 +2,7 @@
 import type { Snapshot } from '../model/snapshot.js';
 import type { Verdict } from '../model/verdict.js';
 import type { RouteMatch } from '../routing/route-table.js';
-import type { AnswerObserver } from './answer-relay.js';
+import type { AnswerObserver } from './answer-forwarding.js';
 import type { Answer } from './call.js';
 import type { ConnectionEndReason } from './connection-end.js';
 import type { HeaderList } from './headers.js';
--- a/src/proxy/request-decision.ts
+++ b/src/proxy/request-decision.ts
@@ -1,7 +1,7 @@
 /** The line of the log for a decision on a request at its caller's node. Pure. */
 import type { Verdict } from '../model/verdict.js';
 import type { ConnectionEndReason } from './connection-end.js';
-import type { LoadReport, SilenceSign } from './call.js';
+import type { LoadReport, AttemptSuspicion } from './call.js';
 import type { RequestContext } from './request-context.js';
 import type { RequestFailure } from './request-error.js';
 import type {
@@ -28,7 +28,7 @@
   /** What the request is known by at all machines. */
   readonly fingerprint?: string | undefined;
   /** Why the attempt's answer was in doubt. */
-  readonly sign?: SilenceSign | undefined;
+  readonly sign?: AttemptSuspicion | undefined;
   readonly next?: SuspicionOutcome;
   /** Why the connection of its caller ended. */
   readonly endedBy?: ConnectionEndReason | undefined;
--- a/src/proxy/request-intake.ts
+++ b/src/proxy/request-intake.ts
@@ -2,7 +2,7 @@
 import type { Snapshot } from '../model/snapshot.js';
 import { RouteTableCache, type RouteMatch } from '../routing/route-table.js';
 import { MAX_CLAIMED_REQUEST_MS } from '../claims/claim-terms.js';
-import { HeldBytes, receiveBody } from './body-receiver.js';
+import { BodyBufferBudget, receiveBody } from './body-receiver.js';
 import type { CallMeter } from './call-meter.js';
 import type { CallerRequest, CallerResponse } from './caller-server.js';
 import { ClaimGate } from './claim-gate.js';
@@ -57,7 +57,7 @@
 /** The intake of one node. */
 export class RequestIntake {
   private readonly routeTables = new RouteTableCache();
-  private readonly heldBytes: HeldBytes;
+  private readonly heldBytes: BodyBufferBudget;
   private requestCount = 0;
   /** Callers' requests under way. */
   private readonly runners = new Set<RequestRunner>();
@@ -65,7 +65,7 @@
   private readonly claimGates = new Set<ClaimGate>();
 
   constructor(private readonly options: RequestIntakeOptions) {
-    this.heldBytes = new HeldBytes(options.limits.maxHeldBytes);
+    this.heldBytes = new BodyBufferBudget(options.limits.maxHeldBytes);
   }
 
   /** Gives every caller's request under way its final answer. Returns how many there were. */
--- a/src/proxy/request-log.ts
+++ b/src/proxy/request-log.ts
@@ -2,7 +2,7 @@
  * Decisions that touch a request, for the log: what was decided, the inputs that decided it, and the
  * outcome. Both nodes of a request's path name it alike, so that one search gives its whole path.
  */
-import type { SilentThing } from './call.js';
+import type { UnresponsiveTarget } from './call.js';
 import type { ConnectionEndReason } from './connection-end.js';
 
 /** What was decided. */
@@ -55,7 +55,7 @@
   readonly code?: string;
   readonly verdict?: string;
   /** What was silent, where the attempt's answer was in doubt. */
-  readonly silent?: SilentThing;
+  readonly silent?: UnresponsiveTarget;
   /** Time since anything was heard of it. */
   readonly quietMs?: number;
   readonly next?: SuspicionOutcome;
--- a/src/proxy/request-proxy.ts
+++ b/src/proxy/request-proxy.ts
@@ -8,7 +8,7 @@
 import type { AwaitedMachine } from './awaited-attempts.js';
 import { LINGER_MS } from './lingering-close.js';
 import { NATIVE_CALLER_PROTOCOL, type CallerProtocol } from './caller-protocol.js';
-import { AnswerCollection } from './answer-collection.js';
+import { ShutdownBuffering } from './answer-collection.js';
 import { CallerConnections } from './caller-connections.js';
 import { createCallerServer } from './caller-server.js';
 import { CallMeter } from './call-meter.js';
@@ -51,7 +51,7 @@
 class NodeRequestProxy implements RequestProxy {
   readonly callerServer: http.Server;
   private readonly callerConnections = new CallerConnections((end) => this.countConnectionEnd(end));
-  private readonly answers: AnswerCollection;
+  private readonly answers: ShutdownBuffering;
   private readonly relay: RelayServer;
   private readonly limits: ProxyLimits;
   private readonly callerProtocol: CallerProtocol;
@@ -73,7 +73,7 @@
 
   constructor(private readonly options: RequestProxyOptions) {
     this.limits = { ...DEFAULT_PROXY_LIMITS, ...options.limits };
-    this.answers = new AnswerCollection(this.limits.maxHeldBytes);
+    this.answers = new ShutdownBuffering(this.limits.maxHeldBytes);
     this.plannedStop = new PlannedStop({
       ...this.limits,
       stopCloseMs: RELAY_CLOSE_TIMEOUT_MS,
@@ -141,7 +141,7 @@
     }
     const { members } = this.options;
     return reportEndpointStates(snapshot, {
-      sightOf: (endpoint) => this.services.selector.sightOf(endpoint, MACHINE_TIME.now()),
+      observationOf: (endpoint) => this.services.selector.sightOf(endpoint, MACHINE_TIME.now()),
       isLeaving: ({ spec }) =>
         spec.machine !== undefined && members.status(spec.machine) === 'leaving',
       isReachable: (endpoint) => this.services.pathTo(endpoint) !== undefined,
@@ -169,7 +169,7 @@
   }
 
   takeEndpoints(): void {
-    this.gateway.takeOwn(this.ownEndpoints());
+    this.gateway.configureLocal(this.ownEndpoints());
   }
 
   private *ownEndpoints(): IterableIterator<Endpoint> {
@@ -192,7 +192,7 @@
     if (address !== undefined) {
       this.relayClient.forget(address);
     }
-    this.services.awaited.machineIsSilent(machineId);
+    this.services.awaited.machineUnresponsive(machineId);
   }
 
   async stop(): Promise<void> {
@@ -232,7 +232,7 @@
       return;
     }
     this.isAborted = true;
-    this.callerConnections.allEndFor('stop-bound');
+    this.callerConnections.recordEndReasonForAll('stop-bound');
     this.plannedStop.handle({ type: 'abort' }, MACHINE_TIME.now());
     for (const server of [this.callerServer, this.relayServer]) {
       server.close();
@@ -257,7 +257,7 @@
     this.pauses.tick(MACHINE_TIME.now());
     this.relayClient.look();
     this.relay.look();
-    this.gateway.look();
+    this.gateway.tick();
   }
 
   private takeRelaySilence(where: string, { awaitedCount, quietMs }: LinkSilence): void {
@@ -303,7 +303,7 @@
         this.options.counters.add(`ferryspool_request_errors_${code.toLowerCase()}_total`);
       },
       connections: this.callerConnections,
-      collection: this.answers,
+      shutdownBuffering: this.answers,
       handle: (request, response) => this.intake.handle(request, response),
     });
   }
--- a/src/proxy/request-runner.ts
+++ b/src/proxy/request-runner.ts
@@ -2,7 +2,7 @@
 import { incarnationOf } from '../model/incarnation.js';
 import type { Endpoint } from '../model/resource.js';
 import type { Verdict } from '../model/verdict.js';
-import type { AnswerObserver } from './answer-relay.js';
+import type { AnswerObserver } from './answer-forwarding.js';
 import { callOf } from './attempt-call.js';
 import type { AttemptOutcome } from '../routing/endpoint-record.js';
 import { outcomeOf } from './attempt-errors.js';
@@ -37,7 +37,7 @@
 /** Answers from this status on report a fault of the endpoint. */
 const FAULT_STATUS = 500;
 /** For an answer with which the request is over whatever becomes of it. */
-const IGNORED_END: AnswerObserver = { whole: () => undefined, broken: () => undefined };
+const IGNORED_END: AnswerObserver = { completed: () => undefined, truncated: () => undefined };
 
 /** One caller's request under way. */
 export class RequestRunner {
@@ -168,7 +168,7 @@
       this.handle({ type: 'no-endpoint', attempt, failure });
       return;
     }
-    this.choice.began(incarnationOf(endpoint));
+    this.choice.markTried(incarnationOf(endpoint));
     const begun = new RequestAttempt(attempt, this.context, endpoint, (one) => this.suspect(one));
     this.attempts.set(attempt, begun);
     const call = callOf(this.context, this.body, {
@@ -227,7 +227,7 @@
   private takeAnswer(attempt: RequestAttempt, answer: Answer): void {
     attempt.answered(answer);
     if (answer.status < FAULT_STATUS) {
-      attempt.endpoint.measureLatency(this.choice.isLate);
+      attempt.endpoint.recordLatency(this.choice.isLate);
     }
     const fault = this.faultOf(answer);
     this.handle({
@@ -280,7 +280,7 @@
     this.standing?.attemptFailed(error);
     this.endAttempt(attempt.number, outcomeOf(error));
     if (load?.serviceMs !== undefined) {
-      this.choice.noteServiceMs(load.serviceMs);
+      this.choice.recordServiceMs(load.serviceMs);
     }
     this.choice.checkTarget(this.context.services.scheduler.now());
     const canReplay = this.canReplay();
@@ -292,10 +292,10 @@
     const isForLackOfRoom = code === 'CANNOT_FINISH_IN_TIME' || code === 'OVERLOADED';
     const { incarnation } = endpoint;
     if (incarnation !== undefined && isForLackOfRoom) {
-      this.choice.refusedBy(incarnation);
+      this.choice.markRefused(incarnation);
     }
     if (isForLackOfRoom || code === 'ENDPOINT_EVACUATED') {
-      endpoint.refused(error, this.choice.isLate);
+      endpoint.workRefused(error, this.choice.isLate);
     }
   }
 
@@ -306,12 +306,12 @@
     }
     const { response, requestId, services } = this.context;
     response.answer(answer, requestId, services.limits.maxHeldAnswerBytes, {
-      whole: () => {
+      completed: () => {
         this.endAttempt(attempt, answer.status >= FAULT_STATUS ? 'failed' : 'answered');
         this.handle({ type: 'answer-whole', attempt });
         this.finish();
       },
-      broken: (wasPassedOn) => {
+      truncated: (wasPassedOn) => {
         this.endAttempt(attempt, 'failed');
         const failure = new TruncatedAnswerError('the answer broke off');
         const canReplay = this.canReplay();
@@ -372,7 +372,7 @@
 
   private expire(): void {
     this.isExpired = true;
-    this.attempts.forEach(({ endpoint }) => endpoint.measureLatency(this.choice.isLate));
+    this.attempts.forEach(({ endpoint }) => endpoint.recordLatency(this.choice.isLate));
     const isUnsent = this.attempts.size > 0 && this.isUnsent();
     const failure = expiryFailure(this.body !== undefined, isUnsent);
     this.handle({ type: 'deadline', failure });
--- a/src/proxy/response-sink.ts
+++ b/src/proxy/response-sink.ts
@@ -4,7 +4,7 @@
  * its caller sends meanwhile would count from its reading.
  */
 import type { ServerResponse } from 'node:http';
-import type { AnswerSink } from './answer-relay.js';
+import type { AnswerSink } from './answer-forwarding.js';
 
 /**
  * Bytes of answers that wait for their turn on a connection before the sender of a body is asked to wait, and before
--- a/test/proxy/claim-gate.test.ts
+++ b/test/proxy/claim-gate.test.ts
@@ -40,7 +40,7 @@
   return told;
 }
 
-const observer = { whole: () => undefined, broken: () => undefined };
+const observer = { completed: () => undefined, truncated: () => undefined };
 const notRun = new NoEndpointError('no endpoint');
 const timedOut = new TimedOutError('late');
 
--- a/test/proxy/endpoint-choice.test.ts
+++ b/test/proxy/endpoint-choice.test.ts
@@ -11,7 +11,7 @@
   it('goes on to endpoints that were not tried, while there is time', () => {
     const { choice, next, lateTurns } = choiceAmong(['one', 'two']);
     expect(next(IN_TIME_MS)).to.equal('one');
-    choice.began('one');
+    choice.markTried('one');
     expect(next(IN_TIME_MS)).to.equal('two');
     expect(choice.isLate).to.equal(false);
     expect(lateTurns()).to.equal(0);
@@ -19,9 +19,9 @@
 
   it('turns late once no endpoint is left, and asks those that refused again', () => {
     const { choice, next, lateTurns } = choiceAmong(['broken', 'full']);
-    choice.began('broken');
-    choice.began('full');
-    choice.refusedBy('full');
+    choice.markTried('broken');
+    choice.markTried('full');
+    choice.markRefused('full');
     expect(next(IN_TIME_MS)).to.equal('full');
     expect(choice.isLate).to.equal(true);
     expect(lateTurns()).to.equal(1);
@@ -29,12 +29,12 @@
 
   it('does not ask an endpoint that was tried late a second time', () => {
     const { choice, next, lateTurns } = choiceAmong(['full']);
-    choice.began('full');
-    choice.refusedBy('full');
+    choice.markTried('full');
+    choice.markRefused('full');
     choice.checkTarget(TARGET_AT_MS);
     expect(next(TARGET_AT_MS)).to.equal('full');
-    choice.began('full');
-    choice.refusedBy('full');
+    choice.markTried('full');
+    choice.markRefused('full');
     expect(next(TARGET_AT_MS)).to.equal(undefined);
     expect(lateTurns()).to.equal(1);
   });
@@ -49,9 +49,9 @@
 
   it('turns late earlier by the least time that any node told', () => {
     const { choice } = choiceAmong([]);
-    choice.noteServiceMs(40);
-    choice.noteServiceMs(30);
-    choice.noteServiceMs(50);
+    choice.recordServiceMs(40);
+    choice.recordServiceMs(30);
+    choice.recordServiceMs(50);
     choice.checkTarget(TARGET_AT_MS - 31);
     expect(choice.isLate).to.equal(false);
     choice.checkTarget(TARGET_AT_MS - 30);
@@ -70,8 +70,8 @@
 
   it('never turns late without a target', () => {
     const { choice, next, lateTurns } = choiceAmong(['full'], false);
-    choice.began('full');
-    choice.refusedBy('full');
+    choice.markTried('full');
+    choice.markRefused('full');
     expect(next(Number.MAX_SAFE_INTEGER)).to.equal(undefined);
     expect(choice.isLate).to.equal(false);
     expect(lateTurns()).to.equal(0);
--- a/test/proxy/expired-waiting.test.ts
+++ b/test/proxy/expired-waiting.test.ts
@@ -5,7 +5,7 @@
 import { expect } from 'chai';
 import { resourceSchema, type Endpoint } from '../../src/model/resource.js';
 import type { Call } from '../../src/proxy/call.js';
-import type { EndpointPort } from '../../src/proxy/endpoint-client.js';
+import type { EndpointConnector } from '../../src/proxy/endpoint-client.js';
 import { EndpointGate } from '../../src/proxy/endpoint-gate.js';
 import { EMPTY_BODY } from '../../src/proxy/request-body.js';
 import type { RequestDecision } from '../../src/proxy/request-log.js';
@@ -15,7 +15,7 @@
 const DEADLINE_MS = 100;
 
 /** An endpoint that never answers. */
-const SILENT: EndpointPort = {
+const SILENT: EndpointConnector = {
   send: () => ({ wasSent: () => true, abort: () => undefined }),
   cancel: () => undefined,
   probeDraining: () => undefined,
--- a/test/proxy/fuzz/request-world.ts
+++ b/test/proxy/fuzz/request-world.ts
@@ -7,7 +7,7 @@
 import { buildSnapshot, NO_SNAPSHOT_VERSION } from '../../../src/model/snapshot.js';
 import { resourceSchema } from '../../../src/model/resource.js';
 import type { Answer, Call } from '../../../src/proxy/call.js';
-import type { AnswerObserver } from '../../../src/proxy/answer-relay.js';
+import type { AnswerObserver } from '../../../src/proxy/answer-forwarding.js';
 import { EndpointGateway } from '../../../src/proxy/endpoint-gateway.js';
 import { DEFAULT_PROXY_LIMITS } from '../../../src/proxy/proxy-limits.js';
 import { EMPTY_BODY } from '../../../src/proxy/request-body.js';
@@ -128,7 +128,7 @@
 
   private keepUp(): void {
     this.process.schedule(UPKEEP_INTERVAL_MS, () => {
-      this.gateway.upkeep();
+      this.gateway.reconcile();
       this.keepUp();
     });
   }
@@ -365,15 +365,15 @@
   answer(answer: Answer, _requestId: string, _holdBytes: number, observer: AnswerObserver): void {
     onceWhole(answer, (isWhole) => {
       if (this.hasBegun()) {
-        observer.broken(false);
+        observer.truncated(false);
         return;
       }
       if (!isWhole) {
-        observer.broken(this.random() < 0.5);
+        observer.truncated(this.random() < 0.5);
         return;
       }
       this.told.push({ kind: 'answer', content: answer.headers[1] ?? '' });
-      observer.whole();
+      observer.completed();
       this.close(true);
     });
   }
--- a/test/proxy/fuzz/virtual-paths.ts
+++ b/test/proxy/fuzz/virtual-paths.ts
@@ -12,7 +12,7 @@
 import type {
   CancelOutcome,
   EndpointObserver,
-  EndpointPort,
+  EndpointConnector,
 } from '../../../src/proxy/endpoint-client.js';
 import type { Exchange } from '../../../src/proxy/http-exchange.js';
 import {
@@ -43,7 +43,7 @@
       body: {
         kind: 'streamed',
         stream: this.stream as unknown as Readable,
-        isWhole: () => this.stream.complete,
+        isComplete: () => this.stream.complete,
       },
       contentLength: 1,
       load: undefined,
@@ -61,12 +61,12 @@
   if (body.kind === 'held') {
     action(true);
   } else {
-    body.stream.once('close', () => action(body.isWhole()));
+    body.stream.once('close', () => action(body.isComplete()));
   }
 }
 
 /** The endpoints as one node reaches them. */
-export class VirtualEndpointPort implements EndpointPort {
+export class VirtualEndpointPort implements EndpointConnector {
   constructor(
     private readonly world: RequestWorld,
     private readonly node: VirtualNode,
--- a/test/proxy/late-requests.test.ts
+++ b/test/proxy/late-requests.test.ts
@@ -16,7 +16,7 @@
 import { resourceSchema } from '../../src/model/resource.js';
 import { buildSnapshot, NO_SNAPSHOT_VERSION, type Snapshot } from '../../src/model/snapshot.js';
 import type { Attempt, AttemptObserver, Call, EndpointPath } from '../../src/proxy/call.js';
-import type { EndpointPort } from '../../src/proxy/endpoint-client.js';
+import type { EndpointConnector } from '../../src/proxy/endpoint-client.js';
 import { EndpointGateway } from '../../src/proxy/endpoint-gateway.js';
 import { DEFAULT_PROXY_LIMITS } from '../../src/proxy/proxy-limits.js';
 import { EMPTY_BODY } from '../../src/proxy/request-body.js';
@@ -49,7 +49,7 @@
 }
 
 /** A caller's node and endpoints on machines of their own, under a virtual clock. */
-class LateWorld implements Scheduler, EndpointPath, EndpointPort {
+class LateWorld implements Scheduler, EndpointPath, EndpointConnector {
   /** Attempts in order, as `endpoint: started` or `endpoint: CODE`. */
   readonly attempts: string[] = [];
   /** Time that each attempt takes on its way, in order; {@link LINK_MS} beyond these. */
@@ -151,7 +151,7 @@
     };
   }
 
-  send: EndpointPort['send'] = ({ name }, { requestId }, _remainingMs, observer) => {
+  send: EndpointConnector['send'] = ({ name }, { requestId }, _remainingMs, observer) => {
     if (!requestId.startsWith(ENDLESS)) {
       this.attempts.push(`${name}: started`);
       const body = { kind: 'held', bytes: Buffer.alloc(0) } as const;
@@ -161,11 +161,12 @@
     return { wasSent: () => true, abort: () => undefined };
   };
 
-  cancel: EndpointPort['cancel'] = (_endpoint, _requestId, _timeoutMs, report) => report('unknown');
+  cancel: EndpointConnector['cancel'] = (_endpoint, _requestId, _timeoutMs, report) =>
+    report('unknown');
 
-  probeDraining: EndpointPort['probeDraining'] = () => undefined;
+  probeDraining: EndpointConnector['probeDraining'] = () => undefined;
 
-  probeListening: EndpointPort['probeListening'] = () => undefined;
+  probeListening: EndpointConnector['probeListening'] = () => undefined;
 
   private get endpoints(): readonly Endpoint[] {
     return this.snapshot.endpointsByService.get('echo') ?? [];
--- a/test/proxy/reborn-endpoint.test.ts
+++ b/test/proxy/reborn-endpoint.test.ts
@@ -9,7 +9,7 @@
 import { resourceSchema, type Endpoint, type Resource } from '../../src/model/resource.js';
 import { buildSnapshot, NO_SNAPSHOT_VERSION, type Snapshot } from '../../src/model/snapshot.js';
 import type { Attempt, Call } from '../../src/proxy/call.js';
-import type { EndpointObserver, EndpointPort } from '../../src/proxy/endpoint-client.js';
+import type { EndpointObserver, EndpointConnector } from '../../src/proxy/endpoint-client.js';
 import { EndpointGateway } from '../../src/proxy/endpoint-gateway.js';
 import { EMPTY_BODY } from '../../src/proxy/request-body.js';
 import { VirtualScheduler } from '../../tools/emulator/virtual-scheduler.js';
@@ -31,7 +31,7 @@
 }
 
 /** The node beside the endpoint `e1`, under a virtual clock. */
-class World implements EndpointPort {
+class World implements EndpointConnector {
   readonly sent: Sent[] = [];
   /** What the callers were told, by request. */
   readonly told: Record<string, string> = {};
@@ -117,12 +117,12 @@
     { requestId }: Call,
     _remainingMs: number,
     observer: EndpointObserver,
-  ): ReturnType<EndpointPort['send']> {
+  ): ReturnType<EndpointConnector['send']> {
     this.sent.push({ bornAtMs: spec.bornAtMs, requestId, observer });
     return { wasSent: () => true, abort: () => undefined };
   }
 
-  cancel(...[, , , report]: Parameters<EndpointPort['cancel']>): void {
+  cancel(...[, , , report]: Parameters<EndpointConnector['cancel']>): void {
     report('unconfirmed');
   }
 
@@ -187,7 +187,7 @@
   it('sends what waits to the new process, soon and without another request', () => {
     world.rebear(2_000);
     world.advance(UPKEEP_MS);
-    world.gateway.upkeep();
+    world.gateway.reconcile();
     expect(world.sentTo(2_000)).to.deep.equal(['wait-1', 'wait-2']);
     ['wait-1', 'wait-2'].forEach((id) => world.answer(id));
     expect(world.told).to.deep.equal({ 'wait-1': '200', 'wait-2': '200' });
@@ -204,7 +204,7 @@
   it('sends a request that was meant for the one before to the new process', () => {
     const before = world.current;
     world.rebear(2_000);
-    world.gateway.upkeep();
+    world.gateway.reconcile();
     ['wait-1', 'wait-2'].forEach((id) => world.answer(id));
     world.submit('late', before);
     expect(world.sentTo(2_000)).to.include('late');
@@ -212,7 +212,7 @@
 
   it('tells of what ran that it may have run, once it is lost', () => {
     world.rebear(2_000);
-    world.gateway.upkeep();
+    world.gateway.reconcile();
     expect(world.told).to.deep.equal({});
     ['run-1', 'run-2'].forEach((id) => world.lose(id));
     world.advance(JUDGED_MS);
@@ -224,7 +224,7 @@
 
   it('takes an answer that is still on its way', () => {
     world.rebear(2_000);
-    world.gateway.upkeep();
+    world.gateway.reconcile();
     world.answer('run-1');
     expect(world.told).to.deep.equal({ 'run-1': '200' });
   });
@@ -233,7 +233,7 @@
     world.advance(100);
     world.answer('run-1');
     const reborn = world.rebear(2_000);
-    world.gateway.upkeep();
+    world.gateway.reconcile();
     const { slots, draining, failureShare, serviceMs } = world.gateway.load(reborn, 'all');
     expect({ slots, draining, failureShare, serviceMs }).to.deep.equal({
       slots: SLOTS,
@@ -252,7 +252,7 @@
     expect(world.gateway.reserve(before, callOf('body-1'), arrival)).to.equal(undefined);
     expect(world.gateway.reserve(before, callOf('body-2'), arrival)).to.equal(undefined);
     const reborn = world.rebear(2_000);
-    world.gateway.upkeep();
+    world.gateway.reconcile();
     expect(world.gateway.reserve(reborn, callOf('other-1'), arrival)).to.equal(undefined);
     expect(world.gateway.reserve(reborn, callOf('other-2'), arrival)).to.equal(undefined);
     expect(world.gateway.reserve(reborn, callOf('other-3'), arrival)?.code).to.equal('OVERLOADED');
@@ -264,7 +264,7 @@
 
   it('gives up what waits, which has not run, where the new process is on another machine', () => {
     world.rebear(2_000, { machine: 'n2', address: '127.0.0.2' });
-    world.gateway.upkeep();
+    world.gateway.reconcile();
     expect(world.sentTo(2_000)).to.deep.equal([]);
     expect(world.told).to.deep.equal({
       'wait-1': 'ENDPOINT_DRAINING not-run',
@@ -274,13 +274,13 @@
 
   it('sends what waits to another port of the machine', () => {
     world.rebear(2_000, { port: 2 });
-    world.gateway.upkeep();
+    world.gateway.reconcile();
     expect(world.sentTo(2_000)).to.deep.equal(['wait-1', 'wait-2']);
   });
 
   it('is not drained by the drain of the one before', () => {
     world.configure([endpointBorn(1_000, { state: 'draining' })]);
-    world.gateway.upkeep();
+    world.gateway.reconcile();
     expect(world.told).to.have.keys(['wait-1', 'wait-2']);
     world.rebear(2_000);
     world.submit('new');
@@ -290,7 +290,7 @@
   it('lets go of a request that waited and is given up after the rebirth', () => {
     const waiting = world.submit('wait-3');
     world.rebear(2_000);
-    world.gateway.upkeep();
+    world.gateway.reconcile();
     waiting.abort();
     ['wait-1', 'wait-2'].forEach((id) => world.answer(id));
     expect(world.sentTo(2_000)).to.deep.equal(['wait-1', 'wait-2']);
@@ -306,7 +306,7 @@
 
   it('refuses what waits in time, as before', () => {
     world.rebear(2_000);
-    world.gateway.upkeep();
+    world.gateway.reconcile();
     ['more-1', 'more-2'].forEach((id) => world.submit(id));
     world.advance(DEADLINE_MS);
     expect(world.told).to.include({ 'more-1': 'CANNOT_FINISH_IN_TIME not-run' });
@@ -315,9 +315,9 @@
   it('forgets the one before once nothing of it is under way', () => {
     const before = world.current;
     world.rebear(2_000);
-    world.gateway.upkeep();
+    world.gateway.reconcile();
     ['wait-1', 'wait-2', 'run-1', 'run-2'].forEach((id) => world.answer(id));
-    world.gateway.upkeep();
+    world.gateway.reconcile();
     expect(world.gateway.inFlight).to.equal(0);
     expect(world.gateway.size).to.equal(1);
     world.submit('late', before);
@@ -326,7 +326,7 @@
 
   it('takes no entry that leaves the birth out for the end of the process', () => {
     world.rebear(undefined);
-    world.gateway.upkeep();
+    world.gateway.reconcile();
     expect(world.sentTo(undefined)).to.deep.equal(['wait-1', 'wait-2']);
     world.lose('run-1');
     world.lose('run-2');
@@ -341,7 +341,7 @@
       world.advance(JUDGED_MS);
       expect(world.ends).to.deep.equal([]);
       world.rebear(2_000);
-      world.gateway.upkeep();
+      world.gateway.reconcile();
       expect(world.ends).to.deep.equal([['run-1', 'run-2']]);
     });
 
@@ -351,7 +351,7 @@
       ['wait-1', 'wait-2'].forEach((id) => world.answer(id));
       expect(world.gateway.inFlight).to.equal(0);
       world.rebear(2_000);
-      world.gateway.upkeep();
+      world.gateway.reconcile();
       expect(world.ends).to.deep.equal([['run-1', 'run-2']]);
     });
 
@@ -359,17 +359,17 @@
       ['run-1', 'run-2'].forEach((id) => world.lose(id));
       world.advance(4_000);
       world.rebear(2_000);
-      world.gateway.upkeep();
+      world.gateway.reconcile();
       expect(world.ends).to.deep.equal([]);
     });
 
     it('learns nothing of an endpoint that was draining', () => {
       world.configure([endpointBorn(1_000, { state: 'draining' })]);
-      world.gateway.upkeep();
+      world.gateway.reconcile();
       ['run-1', 'run-2'].forEach((id) => world.lose(id));
       world.advance(JUDGED_MS);
       world.rebear(2_000);
-      world.gateway.upkeep();
+      world.gateway.reconcile();
       expect(world.ends).to.deep.equal([]);
     });
   });
--- a/test/proxy/request-fuzz.test.ts
+++ b/test/proxy/request-fuzz.test.ts
@@ -215,7 +215,7 @@
     command(`n${node} hears nothing of n${peer}`, (world) => {
       const { process, services } = at(world.nodes, node);
       if (process.isAlive && !process.isFrozen) {
-        services.awaited.machineIsSilent(`n${peer}`);
+        services.awaited.machineUnresponsive(`n${peer}`);
       }
     }),
   ),
--- a/test/proxy/stop-after-pause.test.ts
+++ b/test/proxy/stop-after-pause.test.ts
@@ -50,7 +50,7 @@
         response.onClose(() => (inFlight -= 1));
         const body = { kind: 'held', bytes: Buffer.from('whole') } as const;
         const answer = { status: 200, headers: [], body, contentLength: 5, load: undefined };
-        response.answer(answer, 'r', 0, { whole: () => undefined, broken: () => undefined });
+        response.answer(answer, 'r', 0, { completed: () => undefined, truncated: () => undefined });
       },
     });
     server.listen(0, HOST);
--- a/test/proxy/stop/stop-world.ts
+++ b/test/proxy/stop/stop-world.ts
@@ -12,7 +12,7 @@
 import { resourceSchema } from '../../../src/model/resource.js';
 import type { Attempt, AttemptObserver, Call, EndpointPath } from '../../../src/proxy/call.js';
 import { CallMeter } from '../../../src/proxy/call-meter.js';
-import { HeldBytes, receiveBody } from '../../../src/proxy/body-receiver.js';
+import { BodyBufferBudget, receiveBody } from '../../../src/proxy/body-receiver.js';
 import { NATIVE_CALLER_PROTOCOL } from '../../../src/proxy/caller-protocol.js';
 import { CallerConnections } from '../../../src/proxy/caller-connections.js';
 import {
@@ -90,7 +90,7 @@
   /** The callers' sides of exchanges, by the request's id. */
   private readonly responses = new Map<string, CallerResponse>();
   private readonly meter = new CallMeter(() => this.clock.nowMs);
-  private readonly heldBytes = new HeldBytes(1_000_000);
+  private readonly heldBytes = new BodyBufferBudget(1_000_000);
   private readonly snapshot: Snapshot;
   private readonly services: RequestServices;
   private readonly scheduler: Scheduler = {
@@ -224,7 +224,7 @@
     const body = {
       kind: 'streamed',
       stream: stream as unknown as Readable,
-      isWhole: () => stream.isWhole === true,
+      isComplete: () => stream.isWhole === true,
     } as const;
     attempt.observer.answered({ ...ANSWER, body });
     stream.emit('data', Buffer.from('part'));
--- a/tools/experiment/emulated-endpoint.ts
+++ b/tools/experiment/emulated-endpoint.ts
@@ -7,7 +7,7 @@
 import type {
   CancelOutcome,
   EndpointObserver,
-  EndpointPort,
+  EndpointConnector,
 } from '../../src/proxy/endpoint-client.js';
 import type { Exchange } from '../../src/proxy/http-exchange.js';
 import type { CancelTimer } from '../../src/proxy/scheduler.js';
@@ -42,7 +42,7 @@
 }
 
 /** The endpoint, as its own node reaches it. */
-export class EmulatedEndpoint implements EndpointPort {
+export class EmulatedEndpoint implements EndpointConnector {
   /** How many times as long as planned work takes. */
   slowness = 1;
   private running = new Map<string, Execution>();
--- a/tools/experiment/emulated-node.ts
+++ b/tools/experiment/emulated-node.ts
@@ -150,7 +150,7 @@
   private lookLater(gateway: EndpointGateway): void {
     this.process.schedule(LOOK_INTERVAL_MS, () => {
       this.watch.look(this.services.awaited, this.process.now());
-      gateway.upkeep();
+      gateway.reconcile();
       this.lookLater(gateway);
     });
   }
--- a/tools/experiment/emulated-reply.ts
+++ b/tools/experiment/emulated-reply.ts
@@ -1,6 +1,6 @@
 /** The side of a request that waits for its answer: a caller, or the work on another request. */
 import type { Verdict } from '../../src/model/verdict.js';
-import type { AnswerObserver } from '../../src/proxy/answer-relay.js';
+import type { AnswerObserver } from '../../src/proxy/answer-forwarding.js';
 import type { Answer } from '../../src/proxy/call.js';
 import type { CallerReply } from '../../src/proxy/request-context.js';
 import { createCallerProtocol } from '../../platform/caller-protocol.js';
@@ -33,11 +33,11 @@
     observer: AnswerObserver,
   ): void {
     if (this.isTold) {
-      observer.broken(false);
+      observer.truncated(false);
       return;
     }
     this.isTold = true;
-    observer.whole();
+    observer.completed();
     this.close(true);
     this.onTold({ kind: 'answer', status, isNotRun: false, retryAfterMs: undefined });
   }
--- a/tools/experiment/peer-watch.ts
+++ b/tools/experiment/peer-watch.ts
@@ -32,7 +32,7 @@
       const quietSinceMs = Math.max(sinceMs, this.heardAtMs.get(machineId) ?? -Infinity);
       if (nowMs - quietSinceMs >= SILENCE_MS && !this.answersPing(machineId)) {
         this.silent.add(machineId);
-        awaited.machineIsSilent(machineId);
+        awaited.machineUnresponsive(machineId);
       }
     }
   }
