--- a/src/proxy/buffered-answer.ts
+++ b/src/proxy/buffered-answer.ts
@@ -29,7 +29,7 @@
   });
   body.stream.on('error', () => undefined);
   body.stream.once('close', () => {
-    if (body.isWhole() && sizeBytes <= maxBytes) {
+    if (body.isComplete() && sizeBytes <= maxBytes) {
       onBuffered({ ...answer, body: { kind: 'held', bytes: Buffer.concat(chunks) } });
     }
   });
--- a/src/proxy/malformed-request.ts
+++ b/src/proxy/malformed-request.ts
@@ -39,11 +39,11 @@
       return;
     }
     handled.add(socket);
-    if (connections.hasOpenRequest(socket) && !connections.hasWholeRequest(socket)) {
+    if (connections.hasOpenRequest(socket) && !connections.hasCompleteRequest(socket)) {
       socket.destroy();
       return;
     }
-    connections.closesAfterAnswer(socket);
+    connections.markClosing(socket);
     connections.onceAnswered(socket, () => {
       // A request with a malformed body is still open; its caller would mistake the error for the
       // response to it.
--- a/src/proxy/relay/frame-sink.ts
+++ b/src/proxy/relay/frame-sink.ts
@@ -1,6 +1,6 @@
 /** Sends an answer to a peer as relay frames. */
 import { EventEmitter } from 'node:events';
-import type { AnswerSink } from '../answer-relay.js';
+import type { AnswerSink } from '../answer-forwarding.js';
 import type { Answer } from '../call.js';
 import { RelayBodyWriter } from './relay-body.js';
 import { frameLoadOf, UNKNOWN_LOAD } from './relay-load.js';
--- a/src/proxy/relay/relayed-attempt.ts
+++ b/src/proxy/relay/relayed-attempt.ts
@@ -180,7 +180,7 @@
     const { status, headers, isHeld, bytes, contentLengthBytes: contentLength } = frame;
     const body: AnswerBody = isHeld ? { kind: 'held', bytes } : this.openReader();
     if (body.kind === 'streamed' && frame.isNodeStopping) {
-      body.collect?.(
+      body.extendWindow?.(
         Math.min(contentLength ?? MAX_STOPPING_WINDOW_BYTES, MAX_STOPPING_WINDOW_BYTES),
       );
     }
@@ -199,8 +199,8 @@
     return {
       kind: 'streamed',
       stream: reader,
-      isWhole: () => reader.complete,
-      collect: (bytes) => reader.extendWindow(bytes),
+      isComplete: () => reader.complete,
+      extendWindow: (bytes) => reader.extendWindow(bytes),
     };
   }
 
--- a/src/proxy/request-attempt.ts
+++ b/src/proxy/request-attempt.ts
@@ -4,7 +4,7 @@
 import { AttemptedEndpoint } from './attempted-endpoint.js';
 import type { AwaitedAttempt } from './awaited-attempts.js';
 import { AwaitedPeer } from './awaited-peer.js';
-import type { Answer, Attempt, LoadReport, SilenceSign } from './call.js';
+import type { Answer, Attempt, LoadReport, AttemptSuspicion } from './call.js';
 import type { RequestContext } from './request-context.js';
 import type { RequestError } from './request-error.js';
 
@@ -12,7 +12,7 @@
   readonly endpoint: AttemptedEndpoint;
   answer: Answer | undefined;
   /** Cause of the latest suspicion; undefined if the attempt was never suspected. */
-  suspicion: SilenceSign | undefined;
+  suspicion: AttemptSuspicion | undefined;
   private readonly peer: AwaitedPeer;
   private submission: Attempt | undefined;
 
@@ -24,9 +24,9 @@
     private readonly onSuspected: (attempt: RequestAttempt) => void,
   ) {
     this.endpoint = new AttemptedEndpoint(context);
-    this.endpoint.began(endpoint);
+    this.endpoint.attemptStarted(endpoint);
     this.peer = new AwaitedPeer(context.services, this);
-    this.peer.awaitFor(endpoint, this.endpoint.startedAtMs);
+    this.peer.startAwaiting(endpoint, this.endpoint.startedAtMs);
   }
 
   /** Whether the answer is awaited from a peer: the node that owns the endpoint. */
@@ -42,12 +42,12 @@
     return this.submission?.isUnsent() === true;
   }
 
-  peerIsSilent(): void {
+  peerUnresponsive(): void {
     this.markSuspected({ silent: 'peer' });
   }
 
   /** Has no effect once an answer has started to arrive, since that shows that the path works. */
-  markSuspected(suspicion: SilenceSign): void {
+  markSuspected(suspicion: AttemptSuspicion): void {
     if (this.answer === undefined) {
       this.suspicion = suspicion;
       this.onSuspected(this);
@@ -56,14 +56,14 @@
 
   recordAnswer(answer: Answer): void {
     this.answer = answer;
-    this.peer.hasAnswered();
+    this.peer.answerReceived();
     this.endpoint.observeLoad(answer.load, undefined);
   }
 
   recordFailure(error: RequestError, load: LoadReport | undefined): void {
     this.endpoint.observeLoad(load, error);
     if (load !== undefined) {
-      this.peer.hasAnswered();
+      this.peer.answerReceived();
     }
   }
 
@@ -76,11 +76,11 @@
 
   /** Stops awaiting the peer without ending the attempt. */
   stopAwaitingPeer(): void {
-    this.peer.stop();
+    this.peer.stopAwaiting();
   }
 
   end(outcome: AttemptOutcome): void {
-    this.peer.stop();
-    this.endpoint.ended(outcome);
+    this.peer.stopAwaiting();
+    this.endpoint.attemptEnded(outcome);
   }
 }
--- a/src/proxy/request-decision.ts
+++ b/src/proxy/request-decision.ts
@@ -1,7 +1,7 @@
 /** Builds the log entry for a decision on a request at its caller's node. Pure. */
 import type { Verdict } from '../model/verdict.js';
 import type { ConnectionEndReason } from './connection-end.js';
-import type { LoadReport, SilenceSign } from './call.js';
+import type { LoadReport, AttemptSuspicion } from './call.js';
 import type { RequestContext } from './request-context.js';
 import type { RequestFailure } from './request-error.js';
 import type {
@@ -28,7 +28,7 @@
   /** Identifies the request on all machines. */
   readonly fingerprint?: string | undefined;
   /** Why the attempt was suspected. */
-  readonly suspicion?: SilenceSign | undefined;
+  readonly suspicion?: AttemptSuspicion | undefined;
   readonly next?: SuspicionOutcome;
   /** Why the caller's connection ended. */
   readonly endedBy?: ConnectionEndReason | undefined;
--- a/src/proxy/request-intake.ts
+++ b/src/proxy/request-intake.ts
@@ -2,7 +2,7 @@
 import type { Snapshot } from '../model/snapshot.js';
 import { RouteTableCache, type RouteMatch } from '../routing/route-table.js';
 import { MAX_CLAIMED_REQUEST_MS } from '../claims/claim-terms.js';
-import { HeldBytes, receiveBody } from './body-receiver.js';
+import { BodyBufferBudget, receiveBody } from './body-receiver.js';
 import type { CallMeter } from './call-meter.js';
 import type { CallerRequest, CallerResponse } from './caller-server.js';
 import { ClaimGate } from './claim-gate.js';
@@ -53,7 +53,7 @@
 
 export class RequestIntake {
   private readonly routeTables = new RouteTableCache();
-  private readonly bodyBufferBudget: HeldBytes;
+  private readonly bodyBufferBudget: BodyBufferBudget;
   private requestCount = 0;
   /** Callers' requests in flight. */
   private readonly runners = new Set<RequestRunner>();
@@ -61,7 +61,7 @@
   private readonly claimGates = new Set<ClaimGate>();
 
   constructor(private readonly options: RequestIntakeOptions) {
-    this.bodyBufferBudget = new HeldBytes(options.limits.maxHeldBytes);
+    this.bodyBufferBudget = new BodyBufferBudget(options.limits.maxHeldBytes);
   }
 
   /** Sends every caller's request in flight its final answer. Returns the number of requests. */
--- a/src/proxy/request-log.ts
+++ b/src/proxy/request-log.ts
@@ -2,7 +2,7 @@
  * Log entries for decisions on requests: the decision, its inputs and its outcome. Both nodes on a request's path
  * log it under the same id, so that one search finds the complete path.
  */
-import type { SilentThing } from './call.js';
+import type { UnresponsiveTarget } from './call.js';
 import type { ConnectionEndReason } from './connection-end.js';
 
 export type RequestDecisionName =
@@ -54,7 +54,7 @@
   readonly code?: string;
   readonly verdict?: string;
   /** What was unresponsive when the attempt was suspected. */
-  readonly silent?: SilentThing;
+  readonly silent?: UnresponsiveTarget;
   /** Time since anything was last received from the unresponsive peer or connection. */
   readonly quietMs?: number;
   readonly next?: SuspicionOutcome;
--- a/src/proxy/request-proxy.ts
+++ b/src/proxy/request-proxy.ts
@@ -8,7 +8,7 @@
 import type { AwaitedMachine } from './awaited-attempts.js';
 import { LINGER_MS } from './lingering-close.js';
 import { NATIVE_CALLER_PROTOCOL, type CallerProtocol } from './caller-protocol.js';
-import { AnswerCollection } from './answer-collection.js';
+import { ShutdownBuffering } from './answer-collection.js';
 import { CallerConnections } from './caller-connections.js';
 import { createCallerServer } from './caller-server.js';
 import { CallMeter } from './call-meter.js';
@@ -52,7 +52,7 @@
   private readonly callerConnections = new CallerConnections((end) =>
     this.recordConnectionEnd(end),
   );
-  private readonly shutdownBuffering: AnswerCollection;
+  private readonly shutdownBuffering: ShutdownBuffering;
   private readonly relay: RelayServer;
   private readonly limits: ProxyLimits;
   private readonly callerProtocol: CallerProtocol;
@@ -74,7 +74,7 @@
 
   constructor(private readonly options: RequestProxyOptions) {
     this.limits = { ...DEFAULT_PROXY_LIMITS, ...options.limits };
-    this.shutdownBuffering = new AnswerCollection(this.limits.maxHeldBytes);
+    this.shutdownBuffering = new ShutdownBuffering(this.limits.maxHeldBytes);
     this.plannedStop = new PlannedStop({
       ...this.limits,
       stopCloseMs: RELAY_CLOSE_TIMEOUT_MS,
@@ -142,7 +142,8 @@
     }
     const { members } = this.options;
     return reportEndpointStates(snapshot, {
-      sightOf: (endpoint) => this.services.selector.observationOf(endpoint, MACHINE_TIME.now()),
+      observationOf: (endpoint) =>
+        this.services.selector.observationOf(endpoint, MACHINE_TIME.now()),
       isLeaving: ({ spec }) =>
         spec.machine !== undefined && members.status(spec.machine) === 'leaving',
       isReachable: (endpoint) => this.services.pathTo(endpoint) !== undefined,
@@ -170,7 +171,7 @@
   }
 
   applyEndpoints(): void {
-    this.gateway.takeOwn(this.ownEndpoints());
+    this.gateway.configureLocal(this.ownEndpoints());
   }
 
   private *ownEndpoints(): IterableIterator<Endpoint> {
@@ -193,7 +194,7 @@
     if (address !== undefined) {
       this.relayClient.retireConnection(address);
     }
-    this.services.awaited.machineIsSilent(machineId);
+    this.services.awaited.machineUnresponsive(machineId);
   }
 
   async stop(): Promise<void> {
@@ -239,7 +240,7 @@
       return;
     }
     this.isAborted = true;
-    this.callerConnections.allEndFor('stop-bound');
+    this.callerConnections.recordEndReasonForAll('stop-bound');
     this.plannedStop.handle({ type: 'abort' }, MACHINE_TIME.now());
     for (const server of [this.callerServer, this.relayServer]) {
       server.close();
@@ -264,7 +265,7 @@
     this.pauseDetector.tick(MACHINE_TIME.now());
     this.relayClient.checkLiveness();
     this.relay.checkLiveness();
-    this.gateway.look();
+    this.gateway.tick();
   }
 
   private reportUnresponsiveRelay(
@@ -314,7 +315,7 @@
         this.options.counters.add(`ferryspool_request_errors_${code.toLowerCase()}_total`);
       },
       connections: this.callerConnections,
-      collection: this.shutdownBuffering,
+      shutdownBuffering: this.shutdownBuffering,
       handle: (request, response) => this.intake.handle(request, response),
     });
   }
--- a/src/proxy/request-runner.ts
+++ b/src/proxy/request-runner.ts
@@ -2,7 +2,7 @@
 import { incarnationOf } from '../model/incarnation.js';
 import type { Endpoint } from '../model/resource.js';
 import type { Verdict } from '../model/verdict.js';
-import type { AnswerObserver } from './answer-relay.js';
+import type { AnswerObserver } from './answer-forwarding.js';
 import { callOf } from './attempt-call.js';
 import type { AttemptOutcome } from '../routing/endpoint-record.js';
 import { outcomeOf } from './attempt-errors.js';
@@ -37,7 +37,7 @@
 /** Answers with this HTTP status or a higher one report an endpoint error. */
 const MIN_SERVER_ERROR_STATUS = 500;
 /** Observer for an answer that ends the request whether or not it is sent completely. */
-const IGNORE_END: AnswerObserver = { whole: () => undefined, broken: () => undefined };
+const IGNORE_END: AnswerObserver = { completed: () => undefined, truncated: () => undefined };
 
 export class RequestRunner {
   private readonly lifecycle: RequestLifecycle;
@@ -174,7 +174,7 @@
       this.handle({ type: 'no-endpoint', attempt, failure });
       return;
     }
-    this.endpointChoice.began(incarnationOf(endpoint));
+    this.endpointChoice.markTried(incarnationOf(endpoint));
     const requestAttempt = new RequestAttempt(attempt, this.context, endpoint, (suspect) =>
       this.handleSuspicion(suspect),
     );
@@ -240,7 +240,7 @@
   private handleAnswer(attempt: RequestAttempt, answer: Answer): void {
     attempt.recordAnswer(answer);
     if (answer.status < MIN_SERVER_ERROR_STATUS) {
-      attempt.endpoint.measureLatency(this.endpointChoice.isLate);
+      attempt.endpoint.recordLatency(this.endpointChoice.isLate);
     }
     const fault = this.faultOf(answer);
     this.handle({
@@ -302,7 +302,7 @@
     this.standing?.recordFailure(error);
     this.endAttempt(attempt.number, outcomeOf(error));
     if (load?.serviceMs !== undefined) {
-      this.endpointChoice.noteServiceMs(load.serviceMs);
+      this.endpointChoice.recordServiceMs(load.serviceMs);
     }
     this.endpointChoice.checkTarget(this.context.services.scheduler.now());
     const canReplay = this.canReplay();
@@ -314,10 +314,10 @@
     const isCapacityRefusal = code === 'CANNOT_FINISH_IN_TIME' || code === 'OVERLOADED';
     const { incarnation } = endpoint;
     if (incarnation !== undefined && isCapacityRefusal) {
-      this.endpointChoice.refusedBy(incarnation);
+      this.endpointChoice.markRefused(incarnation);
     }
     if (isCapacityRefusal || code === 'ENDPOINT_EVACUATED') {
-      endpoint.refused(error, this.endpointChoice.isLate);
+      endpoint.workRefused(error, this.endpointChoice.isLate);
     }
   }
 
@@ -328,12 +328,12 @@
     }
     const { response, requestId, services } = this.context;
     response.answer(answer, requestId, services.limits.maxHeldAnswerBytes, {
-      whole: () => {
+      completed: () => {
         this.endAttempt(attempt, answer.status >= MIN_SERVER_ERROR_STATUS ? 'failed' : 'answered');
         this.handle({ type: 'answer-whole', attempt });
         this.cleanUp();
       },
-      broken: (wasPassedOn) => {
+      truncated: (wasPassedOn) => {
         this.endAttempt(attempt, 'failed');
         const failure = new TruncatedAnswerError('the answer broke off');
         const canReplay = this.canReplay();
@@ -409,7 +409,7 @@
 
   private handleDeadline(): void {
     this.isExpired = true;
-    this.attempts.forEach(({ endpoint }) => endpoint.measureLatency(this.endpointChoice.isLate));
+    this.attempts.forEach(({ endpoint }) => endpoint.recordLatency(this.endpointChoice.isLate));
     const isUnsent = this.attempts.size > 0 && this.isUnsent();
     const failure = expiryFailure(this.body !== undefined, isUnsent);
     this.handle({ type: 'deadline', failure });
--- a/src/proxy/response-sink.ts
+++ b/src/proxy/response-sink.ts
@@ -4,7 +4,7 @@
  * of requests that the caller sends meanwhile would only start when they are read.
  */
 import type { ServerResponse } from 'node:http';
-import type { AnswerSink } from './answer-relay.js';
+import type { AnswerSink } from './answer-forwarding.js';
 
 /**
  * Number of buffered bytes of a connection at which the sender of a response body is paused and
