--- a/src/proxy/request-path.ts
+++ b/src/proxy/request-path.ts
@@ -65,7 +65,7 @@
   applyEndpoints(): void;
   /** Machines from whose nodes this node awaits an answer. */
   awaitedMachines(): Iterable<AwaitedMachine>;
-  /** Reacts to an unresponsive machine: requests that may be sent to another endpoint are. */
+  /** Handles an unresponsive machine: its awaited requests are sent to other endpoints where that is allowed. */
   machineUnresponsive(machineId: string): void;
   /** Performs a planned stop: answers close their connections, and requests in flight are completed. */
   stop(): Promise<void>;
--- a/src/proxy/request-proxy.ts
+++ b/src/proxy/request-proxy.ts
@@ -69,7 +69,7 @@
   private readonly plannedStop: PlannedStop;
   private readonly intake: RequestIntake;
   private isAborted = false;
-  /** Longest keep-alive time that any configuration has set so far, in milliseconds. */
+  /** Longest keep-alive time required by any configuration so far, in milliseconds. */
   private longestKeepAliveMs = 0;
 
   constructor(private readonly options: RequestProxyOptions) {
