--- a/src/control/control-options.ts
+++ b/src/control/control-options.ts
@@ -1,6 +1,6 @@
 /** How a control plane is made, and what it says of itself. */
 import type { DocumentMemo } from '../dissemination/document-memo.js';
-import type { SourceEvidence } from '../dissemination/document-adopter.js';
+import type { SourceReadStatus } from '../dissemination/document-adopter.js';
 import type { SourceRejection } from '../dissemination/rejection-log.js';
 import type { PeerAddress, PeerIdentity } from '../membership/peer-identity.js';
 import type { ConfigurationFault } from '../model/configuration-error.js';
@@ -60,7 +60,7 @@
   readonly suspended: readonly ConfigurationFault[];
   /** When the held source document was adopted, in milliseconds; undefined when none is held. */
   readonly sourceAdoptedAtMs: number | undefined;
-  readonly sourceEvidence: SourceEvidence;
+  readonly sourceReadStatus: SourceReadStatus;
   /** What each neighbour is known to hold, by its id. */
   readonly neighbourVersions: ReadonlyMap<string, HeldVersions>;
   /** Machines on the held list. */
--- a/src/control/control-plane.ts
+++ b/src/control/control-plane.ts
@@ -62,13 +62,15 @@
     this.documents = this.documentSink();
     const memberOptions = { ...settings, self: identity };
     this.membership = new Membership(memberOptions, this, this.store.machines());
-    this.components = (settings.components ?? []).map((make) => make(this.documents, this));
+    this.components = (settings.components ?? []).map((createComponent) =>
+      createComponent(this.documents, this),
+    );
   }
 
   handle(event: ControlEvent, nowMs: number): ControlEffect[] {
     const effects: ControlEffect[] = [];
     if (nowMs - this.wakeAt >= LATE_WAKE_MS) {
-      this.grantGrace(nowMs);
+      this.restartTimeouts(nowMs);
     }
     this.dispatch(event, nowMs, effects);
     const closed = this.closedPeers(event, effects);
@@ -112,7 +114,7 @@
     }
     byId.delete(this.identity.id);
     return [...byId.values()].map((member) => ({
-      member: onlyIdentity(member),
+      member: toIdentity(member),
       status: this.membership.status(member.id) ?? 'alive',
     }));
   }
@@ -150,7 +152,7 @@
       rejectedSource: this.dissemination.rejectedSource(),
       suspended: this.store.configuration().suspended,
       sourceAdoptedAtMs: this.dissemination.documents.adoptedAtMs('source'),
-      sourceEvidence: this.dissemination.documents.sourceEvidence(),
+      sourceReadStatus: this.dissemination.documents.sourceReadStatus(),
       neighbourVersions: this.dissemination.neighbourVersions(),
       machines: this.store.machines().byId.size,
     };
@@ -169,9 +171,9 @@
   }
 
   /** The process was paused: what others did not do in that time is not held against them. */
-  protected grantGrace(nowMs: number): void {
-    this.membership.grantGrace(nowMs);
-    this.dissemination.grantGrace(nowMs);
+  protected restartTimeouts(nowMs: number): void {
+    this.membership.restartTimeouts(nowMs);
+    this.dissemination.restartTimeouts(nowMs);
   }
 
   private dispatch(event: ControlEvent, nowMs: number, effects: ControlEffect[]): void {
@@ -215,19 +217,19 @@
     nowMs: number,
     effects: ControlEffect[],
   ): void {
-    this.membership.links.heard(from, isOverlayTraffic(message), nowMs);
+    this.membership.links.messageReceived(from, isOverlayTraffic(message), nowMs);
     if (message.type === 'heartbeat') {
       this.membership.handleHeartbeat(from, message, nowMs, effects);
     } else if (message.type === 'members') {
       this.membership.handleMembers(from, message.updates, nowMs, effects);
       return;
     }
-    const machinesBefore = this.store.machines();
+    const previousMachines = this.store.machines();
     this.dissemination.handleMessage(from, message, nowMs, effects);
-    this.followMachines(machinesBefore, nowMs);
+    this.applyMachineList(previousMachines, nowMs);
   }
 
-  private followMachines(before: unknown, nowMs: number): void {
+  private applyMachineList(before: unknown, nowMs: number): void {
     const machines = this.store.machines();
     if (machines !== before) {
       this.membership.setMachines(machines, nowMs);
@@ -269,7 +271,7 @@
       return;
     }
     if (effect.type === 'send') {
-      this.membership.links.used(effect.to, nowMs);
+      this.membership.links.markUsed(effect.to, nowMs);
     }
     effects.push(effect);
   }
@@ -287,9 +289,9 @@
     const { documents } = this.dissemination;
     return {
       offer: (document, answer, nowMs) => {
-        const machinesBefore = this.store.machines();
+        const previousMachines = this.store.machines();
         const effects = documents.offer(document, answer, nowMs);
-        this.followMachines(machinesBefore, nowMs);
+        this.applyMachineList(previousMachines, nowMs);
         this.wakeAt = this.earliestWake();
         return effects;
       },
@@ -304,7 +306,7 @@
   }
 }
 
-function onlyIdentity(peer: PeerIdentity): PeerIdentity {
+function toIdentity(peer: PeerIdentity): PeerIdentity {
   const { id, incarnation, address, controlPort, relayPort, zone, region } = peer;
   return { id, incarnation, address, controlPort, relayPort, zone, region };
 }
--- a/src/control/control-ports.ts
+++ b/src/control/control-ports.ts
@@ -61,4 +61,4 @@
 }
 
 /** Machines that {@link OldestMachinesView} names at most. */
-export const OLDEST_MACHINES = 5;
+export const MAX_OLDEST_MACHINES = 5;
--- a/src/dissemination/dissemination.ts
+++ b/src/dissemination/dissemination.ts
@@ -75,9 +75,9 @@
   /** What each neighbour is known to hold, by its id; neighbours that have not said are left out. */
   neighbourVersions(): Map<string, HeldVersions> {
     const versions = new Map<string, HeldVersions>();
-    for (const [id, { known }] of this.announcer.neighbours) {
-      if (known !== undefined) {
-        versions.set(id, known);
+    for (const [id, { knownVersions }] of this.announcer.neighbours) {
+      if (knownVersions !== undefined) {
+        versions.set(id, knownVersions);
       }
     }
     return versions;
@@ -103,16 +103,16 @@
   }
 
   /** The node was paused: outstanding fetches get their whole time again. */
-  grantGrace(nowMs: number): void {
+  restartTimeouts(nowMs: number): void {
     for (const name of DOCUMENT_NAMES) {
-      this.fetchers[name].grantGrace(nowMs);
+      this.fetchers[name].restartTimeouts(nowMs);
     }
   }
 
   /** A neighbour was confirmed: tell it what is held here. */
   addNeighbour(peer: PeerIdentity, nowMs: number, effects: ControlEffect[]): void {
     this.announcer.add(peer, nowMs, effects);
-    this.rejections.tell(peer.id, effects);
+    this.rejections.sendCurrent(peer.id, effects);
   }
 
   /** A neighbour is no longer one. */
@@ -121,10 +121,10 @@
     this.server.removePeer(peerId);
     for (const name of DOCUMENT_NAMES) {
       const fetcher = this.fetchers[name];
-      const wasWaiting = fetcher.isWaitingFor(peerId);
+      const wasFetching = fetcher.isWaitingFor(peerId);
       fetcher.removeNeighbour(peerId);
-      if (wasWaiting) {
-        fetcher.consider(nowMs, effects);
+      if (wasFetching) {
+        fetcher.scheduleFetch(nowMs, effects);
       }
     }
   }
@@ -154,7 +154,7 @@
         break;
       case 'fetch-refused':
         this.fetchers[message.document].refused(from, message.retryAfterMs, nowMs);
-        this.fetchers[message.document].consider(nowMs, effects);
+        this.fetchers[message.document].scheduleFetch(nowMs, effects);
         break;
       case 'rejection':
         this.documents.learnRejection(message.version, message.reason, from, effects);
@@ -180,7 +180,7 @@
       if (!this.store.wants(name, versions[name])) {
         fetcher.answered(from);
       }
-      fetcher.consider(nowMs, effects);
+      fetcher.scheduleFetch(nowMs, effects);
     }
   }
 
@@ -193,7 +193,7 @@
     const name = message.document;
     const fetcher = this.fetchers[name];
     const held = this.store.held(name);
-    this.announcer.noteKnown(from, name, message.to);
+    this.announcer.recordKnownVersion(from, name, message.to);
     fetcher.answered(from);
     if (this.store.wants(name, message.to) && message.from.number <= held.version.number) {
       try {
@@ -204,23 +204,23 @@
           throw error;
         }
         this.counters.add(CONTROL_COUNTERS.deltaMismatches);
-        this.noteMismatch(fetcher, from, message.from.number === 0, nowMs);
+        this.handleMismatch(fetcher, from, message.from.number === 0, nowMs);
       }
     }
-    fetcher.consider(nowMs, effects);
+    fetcher.scheduleFetch(nowMs, effects);
   }
 
   /** A change that did not fit is followed by a whole fetch; a whole that did not, by another peer. */
-  private noteMismatch(
+  private handleMismatch(
     fetcher: DocumentFetcher,
     from: string,
-    isWhole: boolean,
+    isFullDocument: boolean,
     nowMs: number,
   ): void {
-    if (isWhole) {
-      fetcher.distrust(from, nowMs);
+    if (isFullDocument) {
+      fetcher.digestMismatched(from, nowMs);
     } else {
-      fetcher.demandWhole();
+      fetcher.requireFullDocument();
     }
   }
 
@@ -232,21 +232,21 @@
   ): void {
     const name = message.document;
     const fetcher = this.fetchers[name];
-    const received = fetcher.takeChunk(from, message, nowMs);
+    const received = fetcher.receiveChunk(from, message, nowMs);
     if (received === undefined) {
       return;
     }
     try {
       const document = this.store.memo.assemble(name, received.version, received.entries);
-      this.announcer.noteKnown(from, name, received.version);
+      this.announcer.recordKnownVersion(from, name, received.version);
       this.documents.adopt(name, document, from, nowMs, effects);
     } catch (error) {
       if (!(error instanceof DeltaMismatchError)) {
         throw error;
       }
       this.counters.add(CONTROL_COUNTERS.snapshotMismatches);
-      fetcher.distrust(from, nowMs);
+      fetcher.digestMismatched(from, nowMs);
     }
-    fetcher.consider(nowMs, effects);
+    fetcher.scheduleFetch(nowMs, effects);
   }
 }
--- a/src/dissemination/document-adopter.ts
+++ b/src/dissemination/document-adopter.ts
@@ -19,7 +19,7 @@
 import type { VersionAnnouncer } from './version-announcer.js';
 
 /** What this node's own reads of the configuration source have shown; peers' reads are not in it. */
-export interface SourceEvidence {
+export interface SourceReadStatus {
   /** When the source last answered a read of this node, in milliseconds; undefined if never. */
   readonly lastAnswerAtMs: number | undefined;
   /** Whether that answer was older than, or in conflict with, what was held. */
@@ -29,7 +29,7 @@
 /** The one way in which a held document changes. */
 export class DocumentAdopter implements PlatformDocumentSink, OperatorDocumentSink {
   private readonly adoptedAt = new Map<DocumentName, number>();
-  private evidence: SourceEvidence = { lastAnswerAtMs: undefined, isStale: false };
+  private sourceReads: SourceReadStatus = { lastAnswerAtMs: undefined, isStale: false };
 
   constructor(
     private readonly store: DocumentStore,
@@ -44,8 +44,8 @@
   }
 
   /** What reads of the source by this node have shown. */
-  sourceEvidence(): SourceEvidence {
-    return this.evidence;
+  sourceReadStatus(): SourceReadStatus {
+    return this.sourceReads;
   }
 
   offer(document: PlatformDocument, answer: PlatformAnswer, nowMs: number): ControlEffect[] {
@@ -53,7 +53,7 @@
     const verdict = judgePlatformAnswer(this.store.held(document), answer);
     if (document === 'source' && answer.outcome !== 'unavailable') {
       const isStale = verdict.outcome === 'stale' || verdict.outcome === 'conflict';
-      this.evidence = { lastAnswerAtMs: nowMs, isStale };
+      this.sourceReads = { lastAnswerAtMs: nowMs, isStale };
     }
     switch (verdict.outcome) {
       case 'newer':
@@ -67,7 +67,7 @@
         break;
       case 'invalid':
         this.counters.add(CONTROL_COUNTERS.invalidSourceAnswers);
-        this.noteRefusal(document, verdict.version, verdict.reason, undefined, effects);
+        this.reportRefusal(document, verdict.version, verdict.reason, undefined, effects);
         break;
       case 'nothing':
         break;
@@ -99,7 +99,7 @@
   ): boolean {
     const adoption = this.store.adopt(name, document);
     if (adoption.outcome === 'refused') {
-      this.noteRefusal(name, document.version, adoption.reason, from, effects);
+      this.reportRefusal(name, document.version, adoption.reason, from, effects);
     }
     if (adoption.outcome !== 'adopted') {
       return false;
@@ -111,7 +111,7 @@
     if (name !== 'machines') {
       effects.push({ type: 'snapshot-changed', snapshot: this.store.configuration().snapshot });
     }
-    this.announcer.passOn(name, nowMs, effects);
+    this.announcer.propagate(name, nowMs, effects);
     return true;
   }
 
@@ -125,7 +125,7 @@
     this.rejections.learn(version, reason, this.heldNumber('source'), from, effects);
   }
 
-  private noteRefusal(
+  private reportRefusal(
     name: DocumentName,
     version: DocumentVersion,
     reason: string,
--- a/src/dissemination/document-fetcher.ts
+++ b/src/dissemination/document-fetcher.ts
@@ -47,9 +47,9 @@
   /** Time of the next attempt; Infinity when none is planned. */
   private attemptAt = Infinity;
   /** Neighbours passed over, until when. */
-  private readonly passedOver = new Map<string, number>();
+  private readonly skippedUntil = new Map<string, number>();
   /** Held version that no delta fits: from it the whole document is asked for. */
-  private wholeFrom: DocumentVersion | undefined;
+  private fullFetchBase: DocumentVersion | undefined;
 
   constructor(
     private readonly name: DocumentName,
@@ -65,7 +65,7 @@
   }
 
   /** Plans a fetch when a neighbour holds something newer; call it when that may have changed. */
-  consider(nowMs: number, effects: ControlEffect[]): void {
+  scheduleFetch(nowMs: number, effects: ControlEffect[]): void {
     const assembly = this.outstanding?.assembly;
     if (assembly !== undefined && !this.store.wants(this.name, assembly.version)) {
       this.outstanding = undefined;
@@ -75,13 +75,13 @@
     }
     const best = this.bestNeighbour(nowMs);
     if (best === undefined) {
-      this.attemptAt = this.hasNewerNeighbour() ? this.earliestReturn(nowMs) : Infinity;
+      this.attemptAt = this.hasNewerNeighbour() ? this.earliestSkipEnd(nowMs) : Infinity;
       return;
     }
     const delay = this.random() * MAX_FETCH_DELAY_MS[best.distance];
     this.attemptAt = Math.min(this.attemptAt, nowMs + delay);
     if (this.attemptAt <= nowMs) {
-      this.start(best, nowMs, effects);
+      this.sendFetch(best, nowMs, effects);
     }
   }
 
@@ -89,21 +89,21 @@
   wake(nowMs: number, effects: ControlEffect[]): void {
     if (this.outstanding !== undefined && nowMs >= this.outstanding.deadline) {
       this.counters.add(CONTROL_COUNTERS.fetchTimeouts);
-      this.passOver(this.outstanding.peerId, nowMs + FETCH_PENALTY_MS);
-      this.consider(nowMs, effects);
+      this.skipUntil(this.outstanding.peerId, nowMs + FETCH_PENALTY_MS);
+      this.scheduleFetch(nowMs, effects);
     } else if (this.outstanding === undefined && nowMs >= this.attemptAt) {
       this.attemptAt = Infinity;
       const best = this.bestNeighbour(nowMs);
       if (best === undefined) {
-        this.consider(nowMs, effects);
+        this.scheduleFetch(nowMs, effects);
       } else {
-        this.start(best, nowMs, effects);
+        this.sendFetch(best, nowMs, effects);
       }
     }
   }
 
   /** The node was paused: what is outstanding gets its whole time again. */
-  grantGrace(nowMs: number): void {
+  restartTimeouts(nowMs: number): void {
     if (this.outstanding !== undefined) {
       this.outstanding.deadline = nowMs + FETCH_TIMEOUT_MS;
     }
@@ -124,28 +124,28 @@
   /** The neighbour refused for now. */
   refused(peerId: string, retryAfterMs: number, nowMs: number): void {
     if (this.outstanding?.peerId === peerId) {
-      this.passOver(peerId, nowMs + Math.min(retryAfterMs, FETCH_PENALTY_MS));
+      this.skipUntil(peerId, nowMs + Math.min(retryAfterMs, FETCH_PENALTY_MS));
     }
   }
 
   /** A delta did not fit what is held: the next fetch asks for the whole document. */
-  demandWhole(): void {
-    this.wholeFrom = this.store.held(this.name).version;
+  requireFullDocument(): void {
+    this.fullFetchBase = this.store.held(this.name).version;
   }
 
   /** The neighbour is gone. */
   removeNeighbour(peerId: string): void {
-    this.passedOver.delete(peerId);
+    this.skippedUntil.delete(peerId);
     this.answered(peerId);
   }
 
   /** The neighbour sent a document that does not have its digest. */
-  distrust(peerId: string, nowMs: number): void {
-    this.passOver(peerId, nowMs + FETCH_PENALTY_MS);
+  digestMismatched(peerId: string, nowMs: number): void {
+    this.skipUntil(peerId, nowMs + FETCH_PENALTY_MS);
   }
 
   /** Takes a chunk; returns the document when it was the last one. Others are dropped. */
-  takeChunk(
+  receiveChunk(
     peerId: string,
     message: SnapshotChunkMessage,
     nowMs: number,
@@ -168,7 +168,7 @@
     assembly.entries.push(...message.entries);
     fetch.deadline = nowMs + FETCH_TIMEOUT_MS;
     if (assembly.entries.length > MAX_DOCUMENT_ENTRIES) {
-      this.passOver(peerId, nowMs + FETCH_PENALTY_MS);
+      this.skipUntil(peerId, nowMs + FETCH_PENALTY_MS);
       return undefined;
     }
     if (assembly.nextIndex < assembly.count) {
@@ -178,12 +178,12 @@
     return assembly;
   }
 
-  private start(neighbour: Neighbour, nowMs: number, effects: ControlEffect[]): void {
+  private sendFetch(neighbour: Neighbour, nowMs: number, effects: ControlEffect[]): void {
     const peerId = neighbour.peer.id;
     this.attemptAt = Infinity;
     this.outstanding = { peerId, deadline: nowMs + FETCH_TIMEOUT_MS, assembly: undefined };
     const held = this.store.held(this.name).version;
-    const have = held === this.wholeFrom ? NO_VERSION : held;
+    const have = held === this.fullFetchBase ? NO_VERSION : held;
     this.counters.add(CONTROL_COUNTERS.fetchesSent);
     effects.push({
       type: 'send',
@@ -192,13 +192,16 @@
     });
   }
 
-  private passOver(peerId: string, untilMs: number): void {
-    this.passedOver.set(peerId, untilMs);
+  private skipUntil(peerId: string, untilMs: number): void {
+    this.skippedUntil.set(peerId, untilMs);
     this.answered(peerId);
   }
 
   private hasNewer(neighbour: Neighbour): boolean {
-    return neighbour.known !== undefined && this.store.wants(this.name, neighbour.known[this.name]);
+    return (
+      neighbour.knownVersions !== undefined &&
+      this.store.wants(this.name, neighbour.knownVersions[this.name])
+    );
   }
 
   private hasNewerNeighbour(): boolean {
@@ -213,7 +216,7 @@
   private bestNeighbour(nowMs: number): Neighbour | undefined {
     let best: Neighbour | undefined;
     for (const neighbour of this.neighbours.values()) {
-      const isUsable = (this.passedOver.get(neighbour.peer.id) ?? 0) <= nowMs;
+      const isUsable = (this.skippedUntil.get(neighbour.peer.id) ?? 0) <= nowMs;
       if (isUsable && this.hasNewer(neighbour) && this.isBetter(neighbour, best)) {
         best = neighbour;
       }
@@ -222,20 +225,23 @@
   }
 
   private isBetter(candidate: Neighbour, best: Neighbour | undefined): boolean {
-    if (best?.known === undefined || candidate.known === undefined) {
+    if (best?.knownVersions === undefined || candidate.knownVersions === undefined) {
       return true;
     }
     const nearer = DISTANCE_RANK[best.distance] - DISTANCE_RANK[candidate.distance];
     if (nearer !== 0) {
       return nearer > 0;
     }
-    const newer = compareVersions(candidate.known[this.name], best.known[this.name]);
+    const newer = compareVersions(
+      candidate.knownVersions[this.name],
+      best.knownVersions[this.name],
+    );
     return newer !== 0 ? newer > 0 : this.random() < 0.5;
   }
 
-  private earliestReturn(nowMs: number): number {
+  private earliestSkipEnd(nowMs: number): number {
     let earliest = Infinity;
-    for (const until of this.passedOver.values()) {
+    for (const until of this.skippedUntil.values()) {
       if (until > nowMs) {
         earliest = Math.min(earliest, until);
       }
--- a/src/dissemination/document-memo.ts
+++ b/src/dissemination/document-memo.ts
@@ -100,28 +100,28 @@
 
   /** The delta from `from` to `document`, or undefined when history does not reach back. */
   deltaFrom(document: VersionedDocument, from: DocumentVersion): SizedDelta | undefined {
-    let known = this.deltas.get(document);
-    if (known === undefined) {
-      known = new BoundedMap(this.capacity);
-      this.deltas.set(document, known);
+    let cached = this.deltas.get(document);
+    if (cached === undefined) {
+      cached = new BoundedMap(this.capacity);
+      this.deltas.set(document, cached);
     }
     const key = versionKey(from);
-    if (!known.has(key)) {
+    if (!cached.has(key)) {
       const delta = document.deltaFrom(from);
-      known.set(key, delta === undefined ? undefined : { delta, bytes: deltaBytes(delta) });
+      cached.set(key, delta === undefined ? undefined : { delta, bytes: deltaBytes(delta) });
     }
-    return known.get(key);
+    return cached.get(key);
   }
 
   private document(
     name: DocumentName,
     version: DocumentVersion,
-    make: () => VersionedDocument,
+    create: () => VersionedDocument,
   ): VersionedDocument {
     const key = `${name}/${versionKey(version)}`;
     let document = this.documents.get(key);
     if (document === undefined) {
-      document = make();
+      document = create();
       this.documents.set(key, document);
     }
     return document;
--- a/src/dissemination/neighbour.ts
+++ b/src/dissemination/neighbour.ts
@@ -7,7 +7,7 @@
   readonly peer: PeerIdentity;
   readonly distance: Distance;
   /** What it is known, or about to, hold; undefined until it has said so. */
-  known: HeldVersions | undefined;
+  knownVersions: HeldVersions | undefined;
   /** Heartbeats in a row whose digest differed from this node's. */
   differingHeartbeats: number;
   /** Earliest time of the next announcement that is not caused by a change, in milliseconds. */
@@ -21,7 +21,7 @@
   return {
     peer,
     distance: distanceBetween(self, peer),
-    known: undefined,
+    knownVersions: undefined,
     differingHeartbeats: 0,
     nextAnnouncementAt: 0,
     announcedDigest: '',
--- a/src/dissemination/rejection-flood.ts
+++ b/src/dissemination/rejection-flood.ts
@@ -44,7 +44,7 @@
   }
 
   /** Tells a new neighbour of the current rejection. */
-  tell(peerId: string, effects: ControlEffect[]): void {
+  sendCurrent(peerId: string, effects: ControlEffect[]): void {
     const rejection = this.log.current();
     if (rejection !== undefined) {
       effects.push({ type: 'send', to: peerId, message: rejectionMessage(rejection) });
--- a/src/dissemination/snapshot-server.ts
+++ b/src/dissemination/snapshot-server.ts
@@ -24,7 +24,7 @@
   readonly version: DocumentVersion;
   readonly chunks: readonly (readonly DocumentEntry[])[];
   nextIndex: number;
-  dueAt: number;
+  nextChunkAt: number;
 }
 
 /** The serving side of all documents. */
@@ -47,7 +47,7 @@
   nextWakeAt(): number {
     let earliest = Infinity;
     for (const transfer of this.transfers) {
-      earliest = Math.min(earliest, transfer.dueAt);
+      earliest = Math.min(earliest, transfer.nextChunkAt);
     }
     return earliest;
   }
@@ -68,7 +68,9 @@
       effects.push({ type: 'send', to: from, message: delta });
       return;
     }
-    this.removeTransfers((one) => one.peerId === from && one.document === message.document);
+    this.removeTransfers(
+      (transfer) => transfer.peerId === from && transfer.document === message.document,
+    );
     if (this.transfers.length >= this.maxTransfers) {
       this.refuse(from, message.document, effects);
       return;
@@ -80,7 +82,7 @@
       version: held.version,
       chunks: parts.chunks,
       nextIndex: 0,
-      dueAt: nowMs,
+      nextChunkAt: nowMs,
     };
     this.transfers.push(transfer);
     sendChunk(transfer, nowMs, effects);
@@ -89,16 +91,16 @@
   /** Sends the chunks that are due; a transfer ends one interval after its last chunk. */
   wake(nowMs: number, effects: ControlEffect[]): void {
     for (const transfer of this.transfers) {
-      if (nowMs >= transfer.dueAt) {
+      if (nowMs >= transfer.nextChunkAt) {
         sendChunk(transfer, nowMs, effects);
       }
     }
-    this.removeTransfers((one) => one.nextIndex > one.chunks.length);
+    this.removeTransfers((transfer) => transfer.nextIndex > transfer.chunks.length);
   }
 
   /** Ends the transfers to a peer whose link closed. */
   removePeer(peerId: string): void {
-    this.removeTransfers((one) => one.peerId === peerId);
+    this.removeTransfers((transfer) => transfer.peerId === peerId);
   }
 
   private refuse(to: string, document: DocumentName, effects: ControlEffect[]): void {
@@ -108,9 +110,9 @@
     effects.push({ type: 'send', to, message: { type: 'fetch-refused', document, retryAfterMs } });
   }
 
-  private removeTransfers(isOver: (transfer: Transfer) => boolean): void {
+  private removeTransfers(shouldRemove: (transfer: Transfer) => boolean): void {
     if (this.transfers.length > 0) {
-      this.transfers = this.transfers.filter((transfer) => !isOver(transfer));
+      this.transfers = this.transfers.filter((transfer) => !shouldRemove(transfer));
     }
   }
 }
@@ -133,5 +135,5 @@
     });
   }
   transfer.nextIndex += 1;
-  transfer.dueAt = nowMs + CHUNK_INTERVAL_MS;
+  transfer.nextChunkAt = nowMs + CHUNK_INTERVAL_MS;
 }
--- a/src/dissemination/version-announcer.ts
+++ b/src/dissemination/version-announcer.ts
@@ -62,12 +62,12 @@
     }
     if (message.versionsDigest === this.store.versionsDigest()) {
       neighbour.differingHeartbeats = 0;
-      neighbour.known = this.store.versions();
+      neighbour.knownVersions = this.store.versions();
       return;
     }
     neighbour.differingHeartbeats += 1;
-    const isLasting = neighbour.differingHeartbeats >= DIFFERING_HEARTBEATS_BEFORE_ANNOUNCEMENT;
-    if (isLasting && nowMs >= neighbour.nextAnnouncementAt) {
+    const isPersistent = neighbour.differingHeartbeats >= DIFFERING_HEARTBEATS_BEFORE_ANNOUNCEMENT;
+    if (isPersistent && nowMs >= neighbour.nextAnnouncementAt) {
       this.announce(neighbour, nowMs, effects);
     }
   }
@@ -79,7 +79,7 @@
     nowMs: number,
     effects: ControlEffect[],
   ): void {
-    neighbour.known = versions;
+    neighbour.knownVersions = versions;
     let mustAnnounce = false;
     for (const name of DOCUMENT_NAMES) {
       if (isNewer(this.store.held(name).version, versions[name])) {
@@ -92,40 +92,44 @@
   }
 
   /** Tells every neighbour of a version that was just adopted, unless it is known to hold it. */
-  passOn(name: DocumentName, nowMs: number, effects: ControlEffect[]): void {
+  propagate(name: DocumentName, nowMs: number, effects: ControlEffect[]): void {
     const held = this.store.held(name).version;
     for (const neighbour of this.neighbours.values()) {
-      const known = neighbour.known?.[name];
-      const isHeldThere = known !== undefined && compareVersions(known, held) >= 0;
-      if (!isHeldThere && !this.push(neighbour, name, effects)) {
+      const knownVersion = neighbour.knownVersions?.[name];
+      const isUpToDate = knownVersion !== undefined && compareVersions(knownVersion, held) >= 0;
+      if (!isUpToDate && !this.push(neighbour, name, effects)) {
         this.announce(neighbour, nowMs, effects);
       }
     }
   }
 
   /** A neighbour sent a version, so it holds it. */
-  noteKnown(from: string, name: DocumentName, version: DocumentVersion): void {
+  recordKnownVersion(from: string, name: DocumentName, version: DocumentVersion): void {
     const neighbour = this.neighbours.get(from);
-    const known = neighbour?.known;
-    if (neighbour !== undefined && known !== undefined && isNewer(version, known[name])) {
-      neighbour.known = { ...known, [name]: version };
+    const knownVersions = neighbour?.knownVersions;
+    if (
+      neighbour !== undefined &&
+      knownVersions !== undefined &&
+      isNewer(version, knownVersions[name])
+    ) {
+      neighbour.knownVersions = { ...knownVersions, [name]: version };
     }
   }
 
   private push(neighbour: Neighbour, name: DocumentName, effects: ControlEffect[]): boolean {
-    const known = neighbour.known;
+    const knownVersions = neighbour.knownVersions;
     const held = this.store.held(name);
-    if (known === undefined) {
+    if (knownVersions === undefined) {
       return false;
     }
-    const sized = this.store.memo.deltaFrom(held, known[name]);
+    const sized = this.store.memo.deltaFrom(held, knownVersions[name]);
     if (sized === undefined || sized.bytes >= MAX_PUSHED_DELTA_BYTES) {
       return false;
     }
     this.counters.add(CONTROL_COUNTERS.deltasPushed);
     const message = { type: 'delta', document: name, ...sized.delta } as const;
     effects.push({ type: 'send', to: neighbour.peer.id, message });
-    neighbour.known = { ...known, [name]: held.version };
+    neighbour.knownVersions = { ...knownVersions, [name]: held.version };
     return true;
   }
 
--- a/src/membership/dial-candidates.ts
+++ b/src/membership/dial-candidates.ts
@@ -5,14 +5,14 @@
 import type { PeerAddress, PeerIdentity } from './peer-identity.js';
 
 /** What a link is for: own zone, another zone of the region, another region, or any first contact. */
-export const LINK_PLACES = ['zone', 'region', 'remote', 'contact'] as const;
-export type LinkPlace = (typeof LINK_PLACES)[number];
+export const LINK_SCOPES = ['zone', 'region', 'remote', 'contact'] as const;
+export type LinkScope = (typeof LINK_SCOPES)[number];
 
 /** Candidates looked at in one pick, so that a pick costs the same in any fleet. */
 const MAX_CANDIDATES_PER_PICK = 16;
 
 /** Share of first contacts sought among members met rather than seeds, once any was met. */
-const MET_MEMBER_SHARE = 0.75;
+const KNOWN_MEMBER_SHARE = 0.75;
 
 /** Text form of an address, for keys of maps. */
 export function addressKey(target: PeerAddress): string {
@@ -38,12 +38,12 @@
    * met: that is how the two sides of a healed partition find each other again.
    */
   pick(
-    place: LinkPlace,
+    scope: LinkScope,
     machines: MachineIndex,
-    isFree: (candidate: DialCandidate) => boolean,
+    isAvailable: (candidate: DialCandidate) => boolean,
   ): DialCandidate | undefined {
-    for (const pool of this.pools(place, machines)) {
-      const candidate = this.pickFrom(pool, isFree);
+    for (const list of this.candidateLists(scope, machines)) {
+      const candidate = this.pickFrom(list, isAvailable);
       if (candidate !== undefined) {
         return candidate;
       }
@@ -52,15 +52,15 @@
   }
 
   private pickFrom(
-    pool: readonly DialCandidate[],
-    isFree: (candidate: DialCandidate) => boolean,
+    candidates: readonly DialCandidate[],
+    isAvailable: (candidate: DialCandidate) => boolean,
   ): DialCandidate | undefined {
-    const start = Math.floor(this.random() * pool.length);
-    const steps = Math.min(pool.length, MAX_CANDIDATES_PER_PICK);
+    const start = Math.floor(this.random() * candidates.length);
+    const steps = Math.min(candidates.length, MAX_CANDIDATES_PER_PICK);
     let fallback: DialCandidate | undefined;
     for (let step = 0; step < steps; step += 1) {
-      const candidate = pool[(start + step) % pool.length];
-      if (candidate === undefined || this.isSelf(candidate) || !isFree(candidate)) {
+      const candidate = candidates[(start + step) % candidates.length];
+      if (candidate === undefined || this.isSelf(candidate) || !isAvailable(candidate)) {
         continue;
       }
       const status = candidate.id === undefined ? 'alive' : this.members.status(candidate.id);
@@ -75,15 +75,18 @@
   }
 
   /** Candidates for a place; the next list is looked at when the one before has none. */
-  private pools(place: LinkPlace, machines: MachineIndex): readonly (readonly DialCandidate[])[] {
+  private candidateLists(
+    scope: LinkScope,
+    machines: MachineIndex,
+  ): readonly (readonly DialCandidate[])[] {
     const { zone, region } = this.self;
-    switch (place) {
+    switch (scope) {
       case 'zone':
         return [machines.inZone(zone)];
       case 'region':
-        return [machines.inZone(this.oneOf(otherThan(machines.zonesOf(region), zone)))];
+        return [machines.inZone(this.pickName(otherThan(machines.zonesOf(region), zone)))];
       case 'remote':
-        return [machines.inRegion(this.oneOf(otherThan(machines.regionNames(), region)))];
+        return [machines.inRegion(this.pickName(otherThan(machines.regionNames(), region)))];
       case 'contact':
         return this.contacts();
     }
@@ -91,12 +94,12 @@
 
   /** Members met first, mostly, since seeds are what every newcomer dials. */
   private contacts(): readonly (readonly DialCandidate[])[] {
-    const met = [...this.members.all()].map((record) => record.identity);
-    const prefersMet = this.random() < MET_MEMBER_SHARE;
-    return prefersMet ? [met, this.seeds] : [this.seeds, met];
+    const knownMembers = [...this.members.all()].map((record) => record.identity);
+    const prefersKnownMembers = this.random() < KNOWN_MEMBER_SHARE;
+    return prefersKnownMembers ? [knownMembers, this.seeds] : [this.seeds, knownMembers];
   }
 
-  private oneOf(names: readonly string[]): string {
+  private pickName(names: readonly string[]): string {
     return names[Math.floor(this.random() * names.length)] ?? '';
   }
 
--- a/src/membership/dial-schedule.ts
+++ b/src/membership/dial-schedule.ts
@@ -7,9 +7,9 @@
 export const MAX_DIAL_BACKOFF_MS = 10_000;
 
 /** Longest wait before a dial to someone who was just named, in milliseconds. */
-const MAX_HINT_DELAY_MS = 200;
+const MAX_EXPEDITED_DELAY_MS = 200;
 /** Failures in a row up to which a hint shortens the wait. */
-const MAX_HASTENED_FAILURES = 20;
+const MAX_EXPEDITED_FAILURES = 20;
 
 /** When the next dial is due, after successes and failures. */
 export class DialSchedule {
@@ -36,12 +36,12 @@
   }
 
   /** The dial was refused, but others were named: no need to wait for the whole back-off. */
-  hinted(nowMs: number): void {
-    if (this.failures >= MAX_HASTENED_FAILURES) {
+  expedite(nowMs: number): void {
+    if (this.failures >= MAX_EXPEDITED_FAILURES) {
       return;
     }
     const isWaiting = this.nextDialAt > nowMs;
-    const dialAt = nowMs + MAX_HINT_DELAY_MS * (0.25 + this.random() * 0.75);
+    const dialAt = nowMs + MAX_EXPEDITED_DELAY_MS * (0.25 + this.random() * 0.75);
     this.failures += isWaiting ? 0 : 1;
     this.nextDialAt = isWaiting ? Math.min(this.nextDialAt, dialAt) : dialAt;
   }
--- a/src/membership/link-probes.ts
+++ b/src/membership/link-probes.ts
@@ -60,7 +60,7 @@
   }
 
   /** The node was paused: probes get their whole time again. */
-  grantGrace(nowMs: number): void {
+  restartTimeouts(nowMs: number): void {
     for (const probe of this.probes.values()) {
       probe.expiresAt = nowMs + PROBE_TIMEOUT_MS;
     }
--- a/src/membership/link-quotas.ts
+++ b/src/membership/link-quotas.ts
@@ -1,11 +1,11 @@
 /** How many overlay links a node wants in each place, and which are missing or too many. */
-import { LINK_PLACES, type LinkPlace } from './dial-candidates.js';
+import { LINK_SCOPES, type LinkScope } from './dial-candidates.js';
 import type { MachineIndex } from './machine-index.js';
 import type { PeerIdentity } from './peer-identity.js';
 import type { PeerLink } from './peer-link.js';
 
 /** Numbers of links by place. */
-export type LinkCounts = Record<LinkPlace, number>;
+export type LinkCounts = Record<LinkScope, number>;
 
 /** No links at all. */
 export function noLinks(): LinkCounts {
@@ -30,30 +30,30 @@
     return quotas;
   }
   quotas.remote = hasRemote ? Math.max(1, Math.floor(neighbours / 4)) : 0;
-  const near = neighbours - quotas.remote;
-  const inZone = hasRegion ? Math.min(near, Math.ceil(neighbours / 2)) : near;
+  const inRegion = neighbours - quotas.remote;
+  const inZone = hasRegion ? Math.min(inRegion, Math.ceil(neighbours / 2)) : inRegion;
   quotas.zone = hasZone ? inZone : 0;
-  quotas.region = hasRegion ? Math.max(1, near - quotas.zone) : 0;
+  quotas.region = hasRegion ? Math.max(1, inRegion - quotas.zone) : 0;
   return quotas;
 }
 
 /** Links wanted less those dialled; `pending` counts dials under way. Negative where too many. */
 export function missingLinks(
-  wanted: LinkCounts,
+  desired: LinkCounts,
   links: Iterable<PeerLink>,
   pending: LinkCounts,
 ): LinkCounts {
-  const missing = { ...wanted };
+  const missing = { ...desired };
   let open = 0;
   for (const link of links) {
     open += link.role === 'transient' ? 0 : 1;
-    missing[link.place] -= link.role === 'outbound' ? 1 : 0;
+    missing[link.scope] -= link.role === 'outbound' ? 1 : 0;
   }
   if (open === 0) {
-    missing.contact += Math.max(0, 1 - wanted.contact);
+    missing.contact += Math.max(0, 1 - desired.contact);
   }
-  for (const place of LINK_PLACES) {
-    missing[place] -= pending[place];
+  for (const scope of LINK_SCOPES) {
+    missing[scope] -= pending[scope];
   }
   return missing;
 }
@@ -61,20 +61,20 @@
 /** Adds what the failing places lack to the first place that does not fail. */
 export function withFallback(
   missing: LinkCounts,
-  wanted: LinkCounts,
-  isFailing: (place: LinkPlace) => boolean,
+  desired: LinkCounts,
+  isFailing: (scope: LinkScope) => boolean,
 ): LinkCounts {
-  const failing = LINK_PLACES.filter(isFailing);
-  const spare = failing.reduce((sum, place) => sum + Math.max(0, missing[place]), 0);
-  const substitute = LINK_PLACES.find((place) => wanted[place] > 0 && !failing.includes(place));
-  return substitute === undefined
+  const failing = LINK_SCOPES.filter(isFailing);
+  const unfilled = failing.reduce((sum, scope) => sum + Math.max(0, missing[scope]), 0);
+  const fallback = LINK_SCOPES.find((scope) => desired[scope] > 0 && !failing.includes(scope));
+  return fallback === undefined
     ? missing
-    : { ...missing, [substitute]: missing[substitute] + spare };
+    : { ...missing, [fallback]: missing[fallback] + unfilled };
 }
 
 /** A confirmed outbound link beyond the number wanted in all; undefined when there is none. */
 export function surplusLink(
-  wanted: LinkCounts,
+  desired: LinkCounts,
   neighbours: number,
   links: Iterable<PeerLink>,
 ): PeerLink | undefined {
@@ -82,12 +82,12 @@
   const outbound: PeerLink[] = [];
   for (const link of links) {
     if (link.role === 'outbound' && link.isConfirmed) {
-      counts[link.place] += 1;
+      counts[link.scope] += 1;
       outbound.push(link);
     }
   }
   if (outbound.length <= neighbours) {
     return undefined;
   }
-  return outbound.find((link) => counts[link.place] > wanted[link.place]);
+  return outbound.find((link) => counts[link.scope] > desired[link.scope]);
 }
--- a/src/membership/machine-index.ts
+++ b/src/membership/machine-index.ts
@@ -1,6 +1,6 @@
 /** The machines document, parsed and indexed by place. Immutable; shared by all who hold it. */
 import { fleetGroupOf } from '../control/fleet-group.js';
-import { OLDEST_MACHINES } from '../control/control-ports.js';
+import { MAX_OLDEST_MACHINES } from '../control/control-ports.js';
 import { canonicalJson } from '../model/canonical-json.js';
 import {
   InvalidConfigurationError,
@@ -86,7 +86,7 @@
     const oldest = Array.from({ length: groups }, (): Machine[] => []);
     for (const machine of this.bySeniority) {
       const members = oldest[fleetGroupOf(machine.id, groups)];
-      if (members !== undefined && members.length < OLDEST_MACHINES) {
+      if (members !== undefined && members.length < MAX_OLDEST_MACHINES) {
         members.push(machine);
       }
     }
--- a/src/membership/member-flood.ts
+++ b/src/membership/member-flood.ts
@@ -19,7 +19,7 @@
 interface PendingUpdate {
   readonly update: MemberUpdate;
   /** Neighbours from which the claim was heard; they need not be told. */
-  readonly heardFrom: string[];
+  readonly receivedFrom: string[];
 }
 
 /** Claims that wait to be flooded. */
@@ -48,20 +48,20 @@
     for (const queue of Object.values(this.queues)) {
       queue.delete(memberId);
     }
-    const pending = { update, heardFrom: from === undefined ? [] : [from] };
+    const pending = { update, receivedFrom: from === undefined ? [] : [from] };
     this.queues[queueName(update)].set(memberId, pending);
-    const longest = update.status === 'leaving' ? MAX_URGENT_DELAY_MS : MAX_BATCH_DELAY_MS;
-    this.flushAt = Math.min(this.flushAt, nowMs + this.delay(longest));
+    const maxDelayMs = update.status === 'leaving' ? MAX_URGENT_DELAY_MS : MAX_BATCH_DELAY_MS;
+    this.flushAt = Math.min(this.flushAt, nowMs + this.delay(maxDelayMs));
   }
 
   /** The same claim came from another neighbour before it was passed on. */
-  heardAgain(update: MemberUpdate, from: string): void {
+  duplicateReceived(update: MemberUpdate, from: string): void {
     const pending = this.queues[queueName(update)].get(update.member.id);
     const held = pending?.update;
-    const isSame =
+    const isSameClaim =
       held?.status === update.status && held.member.incarnation === update.member.incarnation;
-    if (isSame) {
-      pending?.heardFrom.push(from);
+    if (isSameClaim) {
+      pending?.receivedFrom.push(from);
     }
   }
 
@@ -72,7 +72,7 @@
     this.flushAt = hasMore ? nowMs + this.delay(MAX_BATCH_DELAY_MS) : Infinity;
     for (const neighbourId of neighbours) {
       const updates = batch
-        .filter((pending) => !pending.heardFrom.includes(neighbourId))
+        .filter((pending) => !pending.receivedFrom.includes(neighbourId))
         .map((pending) => pending.update);
       if (updates.length > 0) {
         this.counters.add(CONTROL_COUNTERS.memberUpdatesSent, updates.length);
@@ -81,8 +81,8 @@
     }
   }
 
-  private delay(longestMs: number): number {
-    return longestMs * (MIN_DELAY_SHARE + this.random() * (1 - MIN_DELAY_SHARE));
+  private delay(maxDelayMs: number): number {
+    return maxDelayMs * (MIN_DELAY_SHARE + this.random() * (1 - MIN_DELAY_SHARE));
   }
 
   private takeBatch(): PendingUpdate[] {
--- a/src/membership/member-table.ts
+++ b/src/membership/member-table.ts
@@ -87,16 +87,16 @@
     if (held !== undefined && !this.mayReplace(update, held)) {
       return undefined;
     }
-    if (held === undefined && !this.isWorthRecording(update)) {
+    if (held === undefined && !this.shouldRecord(update)) {
       return undefined;
     }
-    const accusedBefore = held?.status === 'suspect' || held?.status === 'leaving';
-    const isSudden = update.status === 'dead' && !accusedBefore;
-    const status = isSudden ? 'suspect' : update.status;
+    const wasSuspectOrLeaving = held?.status === 'suspect' || held?.status === 'leaving';
+    const isFirstReport = update.status === 'dead' && !wasSuspectOrLeaving;
+    const status = isFirstReport ? 'suspect' : update.status;
     if (held?.status === status && held.identity.incarnation === member.incarnation) {
       return undefined;
     }
-    this.put({ identity: member, status, sinceMs: nowMs });
+    this.storeRecord({ identity: member, status, sinceMs: nowMs });
     return { member, status };
   }
 
@@ -128,7 +128,7 @@
       const record = this.records.get(memberId);
       this.suspects.delete(memberId);
       if (record?.status === 'suspect') {
-        this.put({ identity: record.identity, status: 'dead', sinceMs: nowMs });
+        this.storeRecord({ identity: record.identity, status: 'dead', sinceMs: nowMs });
         dead.push(record.identity);
       }
     }
@@ -136,7 +136,7 @@
   }
 
   /** The node was paused: every suspect gets its whole time to refute again. */
-  grantGrace(nowMs: number): void {
+  restartTimeouts(nowMs: number): void {
     for (const memberId of this.suspects.keys()) {
       this.suspects.set(memberId, nowMs + this.deadAfterMs);
     }
@@ -145,11 +145,11 @@
   /** A random member that is held dead; undefined when there is none. */
   randomDead(random: RandomSource): PeerIdentity | undefined {
     let chosen: PeerIdentity | undefined;
-    let seen = 0;
+    let deadCount = 0;
     for (const record of this.records.values()) {
       if (record.status === 'dead') {
-        seen += 1;
-        chosen = random() * seen < 1 ? record.identity : chosen;
+        deadCount += 1;
+        chosen = random() * deadCount < 1 ? record.identity : chosen;
       }
     }
     return chosen;
@@ -176,7 +176,7 @@
     return outranks(update, { member: held.identity, status: held.status });
   }
 
-  private isWorthRecording(update: MemberUpdate): boolean {
+  private shouldRecord(update: MemberUpdate): boolean {
     const isListed = this.machines.byId.has(update.member.id);
     if (update.status !== 'alive') {
       return isListed || update.status !== 'dead';
@@ -193,7 +193,7 @@
     return record.status === 'alive' ? isListed : record.status !== 'suspect';
   }
 
-  private put(record: MemberRecord): void {
+  private storeRecord(record: MemberRecord): void {
     const memberId = record.identity.id;
     this.remove(memberId);
     this.records.set(memberId, record);
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -75,7 +75,7 @@
   /** The process started. */
   start(nowMs: number): void {
     this.sweepAt = nowMs + MEMBER_SWEEP_INTERVAL_MS * (0.5 + this.options.random());
-    this.planRecheck(nowMs);
+    this.scheduleRecheck(nowMs);
     this.links.start(nowMs);
   }
 
@@ -94,11 +94,11 @@
   }
 
   /** The node was paused: heartbeats go out first, and nobody is blamed for the pause. */
-  grantGrace(nowMs: number): void {
+  restartTimeouts(nowMs: number): void {
     this.counters.add(CONTROL_COUNTERS.lateWakes);
-    this.members.grantGrace(nowMs);
-    this.probes.grantGrace(nowMs);
-    this.links.grantGrace(nowMs);
+    this.members.restartTimeouts(nowMs);
+    this.probes.restartTimeouts(nowMs);
+    this.links.restartTimeouts(nowMs);
   }
 
   /** Acts on what is due. */
@@ -131,8 +131,8 @@
   /** A link opened. */
   peerUp(peer: PeerIdentity, nowMs: number, effects: ControlEffect[]): void {
     if (peer.id !== this.options.self.id) {
-      this.noteEvidence(peer, nowMs, effects);
-      this.links.opened(peer, this.probes.succeeded(peer), nowMs, effects);
+      this.recordLinkOpened(peer, nowMs, effects);
+      this.links.linkOpened(peer, this.probes.succeeded(peer), nowMs, effects);
     }
   }
 
@@ -167,7 +167,7 @@
     effects: ControlEffect[],
   ): void {
     if (this.links.handleHeartbeat(peerId, message, nowMs, effects)) {
-      this.synchronise(peerId, effects);
+      this.sendLeavingMembers(peerId, effects);
     }
   }
 
@@ -178,23 +178,23 @@
     nowMs: number,
     effects: ControlEffect[],
   ): void {
-    this.links.heardOfMembers(from, nowMs);
+    this.links.memberUpdatesReceived(from, nowMs);
     for (const update of updates) {
       if (update.member.id === this.options.self.id) {
-        this.answerClaim(from, update, nowMs, effects);
+        this.refuteClaim(from, update, nowMs, effects);
         continue;
       }
-      const news = this.members.apply(update, nowMs);
-      if (news === undefined) {
-        this.flood.heardAgain(update, from);
+      const change = this.members.apply(update, nowMs);
+      if (change === undefined) {
+        this.flood.duplicateReceived(update, from);
       } else {
-        this.flood.queue(news, from, nowMs);
-        logChange(news, effects);
+        this.flood.queue(change, from, nowMs);
+        logChange(change, effects);
       }
     }
   }
 
-  private synchronise(peerId: string, effects: ControlEffect[]): void {
+  private sendLeavingMembers(peerId: string, effects: ControlEffect[]): void {
     const updates: MemberUpdate[] = [];
     for (const record of this.members.all()) {
       if (record.status === 'leaving' && updates.length < MAX_SYNCED_UPDATES) {
@@ -207,11 +207,11 @@
   }
 
   /** A link proves that the peer lives: a newer incarnation is news, an accused one is told. */
-  private noteEvidence(peer: PeerIdentity, nowMs: number, effects: ControlEffect[]): void {
-    const news = this.members.apply({ member: peer, status: 'alive' }, nowMs);
+  private recordLinkOpened(peer: PeerIdentity, nowMs: number, effects: ControlEffect[]): void {
+    const change = this.members.apply({ member: peer, status: 'alive' }, nowMs);
     const held = this.members.record(peer.id);
-    if (news !== undefined) {
-      this.flood.queue(news, peer.id, nowMs);
+    if (change !== undefined) {
+      this.flood.queue(change, peer.id, nowMs);
     } else if (held !== undefined && held.status !== 'alive') {
       const claim = { member: held.identity, status: held.status };
       effects.push({ type: 'send', to: peer.id, message: { type: 'members', updates: [claim] } });
@@ -221,15 +221,15 @@
   private suspect(peer: PeerIdentity, nowMs: number): void {
     const held = this.members.record(peer.id)?.identity.incarnation ?? 0;
     const member = { ...peer, incarnation: Math.max(held, peer.incarnation) };
-    const news = this.members.apply({ member, status: 'suspect' }, nowMs);
-    if (news !== undefined) {
+    const change = this.members.apply({ member, status: 'suspect' }, nowMs);
+    if (change !== undefined) {
       this.counters.add(CONTROL_COUNTERS.suspicions);
-      this.flood.queue(news, undefined, nowMs);
+      this.flood.queue(change, undefined, nowMs);
     }
   }
 
   /** Refutes to the one who told of the claim, who may be no neighbour, and to the fleet. */
-  private answerClaim(
+  private refuteClaim(
     from: string,
     update: MemberUpdate,
     nowMs: number,
@@ -249,7 +249,7 @@
    * so every wrong claim ends, also about members with which no holder of the claim has a link.
    */
   private recheck(nowMs: number, effects: ControlEffect[]): void {
-    this.planRecheck(nowMs);
+    this.scheduleRecheck(nowMs);
     const member = this.members.randomDead(this.options.random);
     if (member !== undefined) {
       const { address, controlPort } = member;
@@ -257,7 +257,7 @@
     }
   }
 
-  private planRecheck(nowMs: number): void {
+  private scheduleRecheck(nowMs: number): void {
     this.recheckAt = nowMs + RECHECK_INTERVAL_MS * (0.5 + this.options.random());
   }
 }
--- a/src/membership/neighbour-links.ts
+++ b/src/membership/neighbour-links.ts
@@ -93,23 +93,23 @@
   }
 
   /** The node was paused: heartbeats go out first, and no silence of that time counts. */
-  grantGrace(nowMs: number): void {
+  restartTimeouts(nowMs: number): void {
     for (const link of this.links.values()) {
-      link.heardAt = nowMs;
+      link.lastReceivedAt = nowMs;
     }
     this.heartbeatAt = Math.min(this.heartbeatAt, nowMs);
   }
 
   /** Acts on what is due; returns the neighbours that fell silent. */
   wake(nowMs: number, effects: ControlEffect[]): PeerIdentity[] {
-    const silent = nowMs >= this.heartbeatAt ? this.beat(nowMs, effects) : [];
+    const silent = nowMs >= this.heartbeatAt ? this.sendHeartbeats(nowMs, effects) : [];
     this.overlay.wake(nowMs, effects);
     return silent;
   }
 
   /** A link opened; `isProbe` when it answers a probe and is of no further use. */
-  opened(peer: PeerIdentity, isProbe: boolean, nowMs: number, effects: ControlEffect[]): void {
-    const dial = this.overlay.claimLink(peer);
+  linkOpened(peer: PeerIdentity, isProbe: boolean, nowMs: number, effects: ControlEffect[]): void {
+    const dial = this.overlay.completeDial(peer);
     let link = this.links.get(peer.id);
     if (link !== undefined && link.peer.incarnation !== peer.incarnation) {
       this.close(link, nowMs, effects);
@@ -123,7 +123,7 @@
     this.links.set(peer.id, link);
     if (dial !== undefined && link.role === 'transient') {
       link.role = 'outbound';
-      link.place = dial.place;
+      link.scope = dial.scope;
       link.replaces = dial.replaces;
       effects.push({ type: 'send', to: peer.id, message: this.listener.heartbeatMessage() });
     }
@@ -146,30 +146,30 @@
   }
 
   /** A message arrived; `isOverlayTraffic` for those that keep no other link open. */
-  heard(peerId: string, isOverlayTraffic: boolean, nowMs: number): void {
+  messageReceived(peerId: string, isOverlayTraffic: boolean, nowMs: number): void {
     const link = this.links.get(peerId);
     if (link === undefined) {
       return;
     }
-    link.heardAt = nowMs;
+    link.lastReceivedAt = nowMs;
     if (!isOverlayTraffic) {
-      link.usedAt = nowMs;
+      link.lastUsedAt = nowMs;
     }
   }
 
   /** A peer told of members; one that has not confirmed its link gives hints whom to dial. */
-  heardOfMembers(peerId: string, nowMs: number): void {
+  memberUpdatesReceived(peerId: string, nowMs: number): void {
     const link = this.links.get(peerId);
     if (link?.role === 'outbound' && !link.isConfirmed) {
-      this.overlay.hinted(nowMs);
+      this.overlay.expediteContactDial(nowMs);
     }
   }
 
   /** Another part of the control plane uses the link. */
-  used(peerId: string, nowMs: number): void {
+  markUsed(peerId: string, nowMs: number): void {
     const link = this.links.get(peerId);
     if (link !== undefined) {
-      link.usedAt = nowMs;
+      link.lastUsedAt = nowMs;
     }
   }
 
@@ -212,10 +212,10 @@
       const to = link.peer.id;
       effects.push({ type: 'send', to, message: { type: 'members', updates } });
     }
-    this.giveUp(link, nowMs, effects);
+    this.hangUp(link, nowMs, effects);
   }
 
-  private beat(nowMs: number, effects: ControlEffect[]): PeerIdentity[] {
+  private sendHeartbeats(nowMs: number, effects: ControlEffect[]): PeerIdentity[] {
     this.heartbeatAt = nowMs + this.options.heartbeatIntervalMs;
     const silent = this.closeStaleLinks(nowMs, effects);
     const message = this.listener.heartbeatMessage();
@@ -226,7 +226,7 @@
     }
     const surplus = this.overlay.surplusLink();
     if (surplus !== undefined) {
-      this.giveUp(surplus, nowMs, effects);
+      this.hangUp(surplus, nowMs, effects);
     }
     return silent;
   }
@@ -235,19 +235,19 @@
     const silent: PeerIdentity[] = [];
     for (const link of this.links.values()) {
       const isTransient = link.role === 'transient';
-      const isIdle = isTransient && nowMs - link.usedAt >= TRANSIENT_IDLE_MS;
-      const isSilent = !isTransient && nowMs - link.heardAt >= this.options.suspectAfterMs;
+      const isIdle = isTransient && nowMs - link.lastUsedAt >= TRANSIENT_IDLE_MS;
+      const isSilent = !isTransient && nowMs - link.lastReceivedAt >= this.options.suspectAfterMs;
       if (isSilent && link.isConfirmed) {
         silent.push(link.peer);
       }
       if (isIdle || isSilent) {
-        this.giveUp(link, nowMs, effects);
+        this.hangUp(link, nowMs, effects);
       }
     }
     return silent;
   }
 
-  private giveUp(link: PeerLink, nowMs: number, effects: ControlEffect[]): void {
+  private hangUp(link: PeerLink, nowMs: number, effects: ControlEffect[]): void {
     this.close(link, nowMs, effects);
     effects.push({ type: 'hang-up', peerId: link.peer.id });
   }
@@ -263,12 +263,12 @@
   private confirm(link: PeerLink, nowMs: number, effects: ControlEffect[]): void {
     link.isConfirmed = true;
     if (link.role === 'outbound') {
-      this.overlay.confirmed(link);
+      this.overlay.linkConfirmed(link);
     }
     this.listener.neighbourUp(link.peer, nowMs, effects);
-    const old = link.replaces === undefined ? undefined : this.links.get(link.replaces);
-    if (old?.role === 'outbound') {
-      this.giveUp(old, nowMs, effects);
+    const replaced = link.replaces === undefined ? undefined : this.links.get(link.replaces);
+    if (replaced?.role === 'outbound') {
+      this.hangUp(replaced, nowMs, effects);
     }
     link.replaces = undefined;
   }
@@ -278,10 +278,10 @@
   return {
     peer,
     role: 'transient',
-    place: 'contact',
+    scope: 'contact',
     isConfirmed: false,
-    heardAt: nowMs,
-    usedAt: nowMs,
+    lastReceivedAt: nowMs,
+    lastUsedAt: nowMs,
     replaces: undefined,
   };
 }
--- a/src/membership/overlay.ts
+++ b/src/membership/overlay.ts
@@ -6,10 +6,10 @@
 import { CONTROL_COUNTERS } from '../control/control-counters.js';
 import {
   DialCandidates,
-  LINK_PLACES,
+  LINK_SCOPES,
   addressKey,
   type DialCandidate,
-  type LinkPlace,
+  type LinkScope,
 } from './dial-candidates.js';
 import { DialSchedule } from './dial-schedule.js';
 import {
@@ -28,7 +28,7 @@
 /** Time after which an unanswered dial counts as failed, in milliseconds. */
 export const DIAL_TIMEOUT_MS = 5_000;
 /** Longest wait before the first dials of a process, in milliseconds. */
-export const START_SPREAD_MS = 300;
+export const MAX_START_DELAY_MS = 300;
 /** Mean time between two exchanges of a neighbour, in milliseconds. */
 export const RESHUFFLE_INTERVAL_MS = 600_000;
 /** Failures in a row after which a place's links are sought elsewhere, too. */
@@ -48,7 +48,7 @@
 
 /** What a dial is for. */
 export interface DialPurpose {
-  readonly place: LinkPlace;
+  readonly scope: LinkScope;
   /** Neighbour that is given up once the dialled one confirms. */
   readonly replaces: string | undefined;
 }
@@ -60,9 +60,9 @@
 /** Decides on overlay links; `links` is shared with the membership that owns it. */
 export class Overlay {
   private readonly candidates: DialCandidates;
-  private readonly schedules: Record<LinkPlace, DialSchedule>;
+  private readonly schedules: Record<LinkScope, DialSchedule>;
   private readonly pending = new Map<string, PendingDial>();
-  private wanted: LinkCounts;
+  private desired: LinkCounts;
   private maintainAt = Infinity;
   private reshuffleAt = Infinity;
   private isStopping = false;
@@ -81,13 +81,13 @@
       remote: new DialSchedule(random),
       contact: new DialSchedule(random),
     };
-    this.wanted = quotasFor(self, options.neighbours, machines);
+    this.desired = quotasFor(self, options.neighbours, machines);
   }
 
   /** The process started: dial soon, but not all processes at the same moment. */
   start(nowMs: number): void {
-    this.maintainAt = nowMs + this.options.random() * START_SPREAD_MS;
-    this.planReshuffle(nowMs);
+    this.maintainAt = nowMs + this.options.random() * MAX_START_DELAY_MS;
+    this.scheduleReshuffle(nowMs);
   }
 
   /** A planned stop: no more dials. */
@@ -116,10 +116,10 @@
   setMachines(machines: MachineIndex, nowMs: number): void {
     const { self, neighbours } = this.options;
     this.machines = machines;
-    this.wanted = quotasFor(self, neighbours, machines);
-    if (this.wanted.contact === 0) {
+    this.desired = quotasFor(self, neighbours, machines);
+    if (this.desired.contact === 0) {
       for (const link of this.links.values()) {
-        link.place = distanceBetween(self, link.peer);
+        link.scope = distanceBetween(self, link.peer);
       }
     }
     this.requestMaintenance(nowMs);
@@ -127,11 +127,11 @@
 
   /** A neighbour beyond those wanted, to be given up; undefined when there is none. */
   surplusLink(): PeerLink | undefined {
-    return surplusLink(this.wanted, this.options.neighbours, this.links.values());
+    return surplusLink(this.desired, this.options.neighbours, this.links.values());
   }
 
   /** A link opened: what it was dialled for, or undefined when the overlay did not dial it. */
-  claimLink(peer: PeerIdentity): DialPurpose | undefined {
+  completeDial(peer: PeerIdentity): DialPurpose | undefined {
     const key = addressKey(peer);
     const dial = this.pending.get(key);
     this.pending.delete(key);
@@ -148,14 +148,14 @@
   }
 
   /** The peer of an outbound link confirmed it. */
-  confirmed(link: PeerLink): void {
-    this.schedules[link.place].succeeded();
+  linkConfirmed(link: PeerLink): void {
+    this.schedules[link.scope].succeeded();
   }
 
   /** A link closed; one that was never confirmed was refused. */
   lost(link: PeerLink, nowMs: number): void {
     if (link.role === 'outbound' && !link.isConfirmed) {
-      this.schedules[link.place].failed(nowMs);
+      this.schedules[link.scope].failed(nowMs);
     }
     this.requestMaintenance(nowMs);
   }
@@ -166,13 +166,13 @@
     const dial = this.pending.get(key);
     if (dial !== undefined) {
       this.pending.delete(key);
-      this.noteFailure(dial, nowMs);
+      this.recordFailure(dial, nowMs);
     }
   }
 
   /** Members were named by a peer that is no neighbour: it was full. */
-  hinted(nowMs: number): void {
-    this.schedules.contact.hinted(nowMs);
+  expediteContactDial(nowMs: number): void {
+    this.schedules.contact.expedite(nowMs);
     this.requestMaintenance(nowMs);
   }
 
@@ -182,10 +182,10 @@
     }
   }
 
-  private noteFailure(dial: PendingDial, nowMs: number): void {
+  private recordFailure(dial: PendingDial, nowMs: number): void {
     this.options.counters.add(CONTROL_COUNTERS.dialFailures);
     if (dial.replaces === undefined) {
-      this.schedules[dial.place].failed(nowMs);
+      this.schedules[dial.scope].failed(nowMs);
     }
     this.requestMaintenance(nowMs);
   }
@@ -194,25 +194,25 @@
   private maintain(nowMs: number, effects: ControlEffect[]): void {
     this.expireDials(nowMs);
     const missing = withFallback(
-      missingLinks(this.wanted, this.links.values(), this.pendingCounts()),
-      this.wanted,
-      (place) => this.schedules[place].failures >= FAILURES_BEFORE_FALLBACK,
+      missingLinks(this.desired, this.links.values(), this.pendingCounts()),
+      this.desired,
+      (scope) => this.schedules[scope].failures >= FAILURES_BEFORE_FALLBACK,
     );
     this.maintainAt = this.earliestDialDeadline();
-    for (const place of LINK_PLACES) {
-      this.dialFor(place, missing[place], nowMs, effects);
+    for (const scope of LINK_SCOPES) {
+      this.dialFor(scope, missing[scope], nowMs, effects);
     }
   }
 
   private dialFor(
-    place: LinkPlace,
+    scope: LinkScope,
     missing: number,
     nowMs: number,
     effects: ControlEffect[],
   ): void {
-    const schedule = this.schedules[place];
+    const schedule = this.schedules[scope];
     for (let count = 0; count < missing && nowMs >= schedule.nextDialAt; count += 1) {
-      if (!this.dialOne({ place, replaces: undefined }, nowMs, effects)) {
+      if (!this.dialOne({ scope, replaces: undefined }, nowMs, effects)) {
         schedule.failed(nowMs);
       } else if (schedule.failures > 0) {
         break;
@@ -224,8 +224,8 @@
   }
 
   private dialOne(purpose: DialPurpose, nowMs: number, effects: ControlEffect[]): boolean {
-    const isFree = (candidate: DialCandidate): boolean => this.isFree(candidate);
-    const target = this.candidates.pick(purpose.place, this.machines, isFree);
+    const isAvailable = (candidate: DialCandidate): boolean => this.isAvailable(candidate);
+    const target = this.candidates.pick(purpose.scope, this.machines, isAvailable);
     if (target === undefined) {
       return false;
     }
@@ -239,7 +239,7 @@
   }
 
   /** Neither linked nor being dialled. */
-  private isFree(candidate: DialCandidate): boolean {
+  private isAvailable(candidate: DialCandidate): boolean {
     const key = addressKey(candidate);
     if (this.pending.has(key)) {
       return false;
@@ -256,7 +256,7 @@
     for (const [key, dial] of this.pending) {
       if (nowMs >= dial.deadline) {
         this.pending.delete(key);
-        this.noteFailure(dial, nowMs);
+        this.recordFailure(dial, nowMs);
       }
     }
   }
@@ -272,24 +272,24 @@
   private pendingCounts(): LinkCounts {
     const counts = noLinks();
     for (const dial of this.pending.values()) {
-      counts[dial.place] += dial.replaces === undefined ? 1 : 0;
+      counts[dial.scope] += dial.replaces === undefined ? 1 : 0;
     }
     return counts;
   }
 
-  private planReshuffle(nowMs: number): void {
+  private scheduleReshuffle(nowMs: number): void {
     this.reshuffleAt = nowMs + RESHUFFLE_INTERVAL_MS * (0.5 + this.options.random());
   }
 
   /** Dials a substitute for one confirmed outbound neighbour; the old one goes when it is there. */
   private reshuffle(nowMs: number, effects: ControlEffect[]): void {
-    this.planReshuffle(nowMs);
+    this.scheduleReshuffle(nowMs);
     const outbound = [...this.links.values()].filter(
       (link) => link.role === 'outbound' && link.isConfirmed,
     );
-    const old = outbound[Math.floor(this.options.random() * outbound.length)];
-    if (old !== undefined) {
-      this.dialOne({ place: old.place, replaces: old.peer.id }, nowMs, effects);
+    const replaced = outbound[Math.floor(this.options.random() * outbound.length)];
+    if (replaced !== undefined) {
+      this.dialOne({ scope: replaced.scope, replaces: replaced.peer.id }, nowMs, effects);
     }
   }
 }
--- a/src/membership/peer-link.ts
+++ b/src/membership/peer-link.ts
@@ -1,5 +1,5 @@
 /** The links of a node to its peers, and what each is used for. */
-import type { LinkPlace } from './dial-candidates.js';
+import type { LinkScope } from './dial-candidates.js';
 import type { PeerIdentity } from './peer-identity.js';
 
 /**
@@ -14,13 +14,13 @@
   readonly peer: PeerIdentity;
   role: LinkRole;
   /** What an outbound link is for. */
-  place: LinkPlace;
+  scope: LinkScope;
   /** Whether the peer is an overlay neighbour: it sent a heartbeat and was accepted. */
   isConfirmed: boolean;
   /** When the last message arrived, in milliseconds. */
-  heardAt: number;
+  lastReceivedAt: number;
   /** When the link was last used for anything but the overlay, in milliseconds. */
-  usedAt: number;
+  lastUsedAt: number;
   /** Neighbour that this link is to replace, once it is confirmed. */
   replaces: string | undefined;
 }
--- a/src/runtime/node-status.ts
+++ b/src/runtime/node-status.ts
@@ -27,8 +27,8 @@
     held: status.held,
     source: {
       isReader: parts.isReader(),
-      isStale: status.sourceEvidence.isStale,
-      ...sinceMember('sinceLastAnswerMs', now, status.sourceEvidence.lastAnswerAtMs),
+      isStale: status.sourceReadStatus.isStale,
+      ...sinceMember('sinceLastAnswerMs', now, status.sourceReadStatus.lastAnswerAtMs),
       ...(status.rejectedSource && { rejected: status.rejectedSource }),
     },
     suspended: status.suspended,
--- a/test/claims/claim-world.ts
+++ b/test/claims/claim-world.ts
@@ -2,7 +2,7 @@
 import { ClaimComponent } from '../../src/claims/claim-component.js';
 import { CLAIM_KEEP_MS, MAX_CLAIMED_REQUEST_MS } from '../../src/claims/claim-terms.js';
 import type { ControlEffect, ControlEvent } from '../../src/control/control-event.js';
-import { OLDEST_MACHINES } from '../../src/control/control-ports.js';
+import { MAX_OLDEST_MACHINES } from '../../src/control/control-ports.js';
 import type { PeerIdentity } from '../../src/membership/peer-identity.js';
 import type { Machine } from '../../src/model/machine.js';
 import { seededRandom } from '../source/reader-process.js';
@@ -182,7 +182,7 @@
     const isDead = (machine: Machine): boolean =>
       this.processes.some((one) => one.machine.id === machine.id && !one.isAlive);
     const list = this.newestList().filter((machine) => !isDead(machine));
-    const least = Math.max(OLDEST_MACHINES, list.length + (withNewMachine ? 1 : 0));
+    const least = Math.max(MAX_OLDEST_MACHINES, list.length + (withNewMachine ? 1 : 0));
     while (list.length < least) {
       const machine = newMachine(this.processes.length);
       list.push(machine);
@@ -219,7 +219,7 @@
 
   private addList(list: Machine[]): void {
     this.lists.push(list);
-    this.oldest.push(list.slice(0, OLDEST_MACHINES));
+    this.oldest.push(list.slice(0, MAX_OLDEST_MACHINES));
   }
 
   private startProcess(machine: Machine): ClaimProcess {
--- a/test/control/component-links.test.ts
+++ b/test/control/component-links.test.ts
@@ -6,7 +6,7 @@
 
 describe('control plane: links of components', () => {
   it('tells components of a link that the membership closes for being idle', () => {
-    const seen: ControlEvent[] = [];
+    const receivedEvents: ControlEvent[] = [];
     const plane = new ControlPlane({
       identity: identityOf(0),
       seeds: [],
@@ -15,7 +15,7 @@
       components: [
         () => ({
           handle: (event) => {
-            seen.push(event);
+            receivedEvents.push(event);
             return [];
           },
           nextWakeAt: () => Infinity,
@@ -32,6 +32,6 @@
       closedAtMs = effects.some((effect) => effect.type === 'hang-up') ? nowMs : 0;
     }
     expect(closedAtMs).to.be.at.least(TRANSIENT_IDLE_MS);
-    expect(seen.at(-1)).to.deep.equal({ type: 'peer-down', peer });
+    expect(receivedEvents.at(-1)).to.deep.equal({ type: 'peer-down', peer });
   });
 });
--- a/test/control/convergence.test.ts
+++ b/test/control/convergence.test.ts
@@ -2,8 +2,8 @@
 import { identityOf, sourceValues } from './control-fixtures.js';
 import type { PumpNode } from './message-pump.js';
 import {
-  HEAL_MS,
-  assertOnlyRose,
+  RECOVERY_MS,
+  assertVersionsOnlyIncrease,
   nodeAt,
   sourceNumbers,
   startFleet,
@@ -58,9 +58,9 @@
       'the reader dies after the publication',
       (fleet: Fleet) => {
         fleet.pump.publish(nodeAt(fleet, 5), 8, sourceValues(1, 2_000));
-        const holdsIt = (node: PumpNode): boolean =>
+        const holdsVersion8 = (node: PumpNode): boolean =>
           node.plane.snapshot().version.source.number === 8;
-        fleet.pump.run(2_000, () => fleet.nodes.filter(holdsIt).length === 2);
+        fleet.pump.run(2_000, () => fleet.nodes.filter(holdsVersion8).length === 2);
         fleet.pump.kill(nodeAt(fleet, 5));
       },
     ],
@@ -69,20 +69,20 @@
       (fleet: Fleet) => {
         fleet.pump.publish(nodeAt(fleet, 0), 8, sourceValues(1, 2_000));
         fleet.pump.run(30);
-        const herd = fleet.nodes.filter((_, index) => index % 2 === 1);
-        herd.forEach((node) => fleet.pump.kill(node));
+        const restarting = fleet.nodes.filter((_, index) => index % 2 === 1);
+        restarting.forEach((node) => fleet.pump.kill(node));
         fleet.pump.run(100);
-        herd.forEach((node) => fleet.pump.restart(node, { seeds: [identityOf(0)] }));
+        restarting.forEach((node) => fleet.pump.restart(node, { seeds: [identityOf(0)] }));
       },
     ],
   ] as const) {
     it(`${name}: all hold version 8 and none fell back`, () => {
       const fleet = startFleet(12);
       disturb(fleet);
-      fleet.pump.run(HEAL_MS, () => fleet.pump.isConverged());
+      fleet.pump.run(RECOVERY_MS, () => fleet.pump.isConverged());
       expect(fleet.pump.isConverged()).to.equal(true);
       expect([...sourceNumbers(fleet)]).to.deep.equal([8]);
-      assertOnlyRose({
+      assertVersionsOnlyIncrease({
         ...fleet,
         nodes: fleet.nodes.filter((node) => node.identity.incarnation === 1_000),
       });
@@ -93,11 +93,11 @@
     const fleet = startFleet(6);
     fleet.pump.publish(nodeAt(fleet, 0), 8, sourceValues(1));
     fleet.pump.run(1_000);
-    const late = fleet.pump.add(identityOf(6, 'region-1-0'), { seeds: [identityOf(0)] });
-    fleet.pump.publish(late, 3, sourceValues(3));
+    const newNode = fleet.pump.add(identityOf(6, 'region-1-0'), { seeds: [identityOf(0)] });
+    fleet.pump.publish(newNode, 3, sourceValues(3));
     fleet.pump.run(5_000);
     expect([...sourceNumbers(fleet)]).to.deep.equal([8]);
-    assertOnlyRose(fleet);
+    assertVersionsOnlyIncrease(fleet);
   });
 
   it('an invalid version is refused by every node, and each can tell why', () => {
--- a/test/control/fleet-membership.test.ts
+++ b/test/control/fleet-membership.test.ts
@@ -2,13 +2,13 @@
 import { ControlPlane } from '../../src/control/control-plane.js';
 import { identityOf, sourceValues } from './control-fixtures.js';
 import {
-  DEATH_MS,
-  HEAL_MS,
+  DEAD_DETECTION_MS,
+  RECOVERY_MS,
   SETTLE_MS,
-  assertOnlyRose,
+  assertVersionsOnlyIncrease,
   countOf,
   nodeAt,
-  opinions,
+  statusesOf,
   sourceNumbers,
   startFleet,
 } from './test-fleet.js';
@@ -19,23 +19,23 @@
     const victim = nodeAt(fleet, 4);
     fleet.pump.kill(victim);
     fleet.pump.run(5_000);
-    expect([...opinions(fleet, victim)]).to.deep.equal(['suspect']);
-    fleet.pump.run(DEATH_MS);
-    expect([...opinions(fleet, victim)]).to.deep.equal(['dead']);
+    expect([...statusesOf(fleet, victim)]).to.deep.equal(['suspect']);
+    fleet.pump.run(DEAD_DETECTION_MS);
+    expect([...statusesOf(fleet, victim)]).to.deep.equal(['dead']);
     fleet.pump.restart(victim, { seeds: [identityOf(0)] });
     fleet.pump.run(SETTLE_MS);
-    expect([...opinions(fleet, victim)]).to.deep.equal(['alive']);
+    expect([...statusesOf(fleet, victim)]).to.deep.equal(['alive']);
   });
 
   it('tells everyone of a planned stop within a second, and blames nobody for it', () => {
     const fleet = startFleet(30);
-    const leaver = nodeAt(fleet, 4);
-    fleet.pump.deliver(leaver, { type: 'stop' });
+    const leavingNode = nodeAt(fleet, 4);
+    fleet.pump.deliver(leavingNode, { type: 'stop' });
     fleet.pump.run(1_000);
-    expect([...opinions(fleet, leaver)]).to.deep.equal(['leaving']);
-    fleet.pump.kill(leaver);
-    fleet.pump.run(DEATH_MS);
-    expect([...opinions(fleet, leaver)]).to.deep.equal(['leaving']);
+    expect([...statusesOf(fleet, leavingNode)]).to.deep.equal(['leaving']);
+    fleet.pump.kill(leavingNode);
+    fleet.pump.run(DEAD_DETECTION_MS);
+    expect([...statusesOf(fleet, leavingNode)]).to.deep.equal(['leaving']);
     expect(countOf(fleet, 'ferryspool_member_suspicions_total')).to.equal(0);
   });
 
@@ -49,31 +49,31 @@
     }
     fleet.pump.run(SETTLE_MS);
     expect(countOf(fleet, 'ferryspool_member_suspicions_total')).to.equal(before);
-    expect([...opinions(fleet, left)]).to.deep.equal(['alive']);
-    expect([...opinions(fleet, right)]).to.deep.equal(['alive']);
+    expect([...statusesOf(fleet, left)]).to.deep.equal(['alive']);
+    expect([...statusesOf(fleet, right)]).to.deep.equal(['alive']);
   });
 
   /** Blames its neighbours for its own pause. */
-  class ImpatientPlane extends ControlPlane {
-    protected override grantGrace(): void {
+  class NoPauseHandlingPlane extends ControlPlane {
+    protected override restartTimeouts(): void {
       return;
     }
   }
 
   for (const [planeClass, expected] of [
     [ControlPlane, 0],
-    [ImpatientPlane, 1],
+    [NoPauseHandlingPlane, 1],
   ] as const) {
     it(`after a pause of its own, ${planeClass.name} accuses ${expected === 0 ? 'nobody' : 'others'}`, () => {
       const fleet = startFleet(10, 1, planeClass);
       const paused = nodeAt(fleet, 4);
       paused.pausedUntil = fleet.pump.nowMs + 10_000;
       fleet.pump.run(9_000);
-      const wakesLate = paused.plane.handle({ type: 'wake' }, fleet.pump.nowMs);
-      const hungUp = wakesLate.filter((effect) => effect.type === 'hang-up').length;
+      const effects = paused.plane.handle({ type: 'wake' }, fleet.pump.nowMs);
+      const hungUp = effects.filter((effect) => effect.type === 'hang-up').length;
       expect(Math.min(1, hungUp)).to.equal(expected);
       if (expected === 0) {
-        expect(wakesLate[0]).to.have.nested.property('message.type', 'heartbeat');
+        expect(effects[0]).to.have.nested.property('message.type', 'heartbeat');
       }
     });
   }
@@ -83,17 +83,17 @@
     const paused = nodeAt(fleet, 4);
     paused.pausedUntil = fleet.pump.nowMs + 40_000;
     fleet.pump.run(39_000);
-    expect([...opinions(fleet, paused)]).to.deep.equal(['dead']);
+    expect([...statusesOf(fleet, paused)]).to.deep.equal(['dead']);
     fleet.pump.publish(nodeAt(fleet, 0), 8, sourceValues(1));
-    fleet.pump.run(1_000 + HEAL_MS);
-    expect([...opinions(fleet, paused)]).to.deep.equal(['alive']);
+    fleet.pump.run(1_000 + RECOVERY_MS);
+    expect([...statusesOf(fleet, paused)]).to.deep.equal(['alive']);
     expect([...sourceNumbers(fleet)]).to.deep.equal([8]);
     for (const node of fleet.nodes) {
-      expect([...opinions(fleet, node)]).to.deep.equal(['alive']);
+      expect([...statusesOf(fleet, node)]).to.deep.equal(['alive']);
     }
   });
 
-  for (const [name, isApart] of [
+  for (const [name, isPartitioned] of [
     ['a region is cut off', (from: string, to: string) => from.slice(0, 8) !== to.slice(0, 8)],
     [
       'a zone is cut off',
@@ -105,18 +105,18 @@
       const fleet = startFleet(18);
       fleet.pump.publish(nodeAt(fleet, 0), 1, sourceValues(1));
       fleet.pump.run(1_000);
-      fleet.pump.cut((from, to) => isApart(from.zone, to.zone));
+      fleet.pump.cut((from, to) => isPartitioned(from.zone, to.zone));
       fleet.pump.run(1_800_000);
       fleet.pump.publish(nodeAt(fleet, 0), 2, sourceValues(2));
       fleet.pump.publish(nodeAt(fleet, 4), 3, sourceValues(3));
       fleet.pump.run(1_800_000);
       fleet.pump.heal();
-      fleet.pump.run(HEAL_MS);
+      fleet.pump.run(RECOVERY_MS);
       expect([...sourceNumbers(fleet)]).to.deep.equal([3]);
-      assertOnlyRose(fleet);
+      assertVersionsOnlyIncrease(fleet);
       fleet.pump.run(60_000);
       for (const node of fleet.nodes) {
-        expect([...opinions(fleet, node)]).to.deep.equal(['alive']);
+        expect([...statusesOf(fleet, node)]).to.deep.equal(['alive']);
       }
     });
   }
--- a/test/control/message-pump.ts
+++ b/test/control/message-pump.ts
@@ -52,7 +52,7 @@
   /** Adds and starts a node. */
   add(identity: PeerIdentity, options: Partial<ControlPlaneOptions> = {}): PumpNode {
     const counters = new MapCounters();
-    const plane = this.makePlane(identity, counters, options);
+    const plane = this.createPlane(identity, counters, options);
     const node: PumpNode = {
       identity,
       plane,
@@ -79,7 +79,7 @@
   /** A killed process starts again, holding nothing. */
   restart(node: PumpNode, options: Partial<ControlPlaneOptions> = {}): void {
     node.identity = { ...node.identity, incarnation: node.identity.incarnation + 10 };
-    node.plane = this.makePlane(node.identity, node.counters, options);
+    node.plane = this.createPlane(node.identity, node.counters, options);
     node.isUp = true;
     this.deliver(node, { type: 'start' });
   }
@@ -156,17 +156,17 @@
   }
 
   /** Nodes that are up. */
-  living(): PumpNode[] {
+  runningNodes(): PumpNode[] {
     return [...this.nodes.values()].filter((node) => node.isUp);
   }
 
   /** Whether all living nodes hold the same versions. */
   isConverged(): boolean {
-    const digests = this.living().map((node) => node.plane.status().versionsDigest);
+    const digests = this.runningNodes().map((node) => node.plane.status().versionsDigest);
     return new Set(digests).size === 1;
   }
 
-  private makePlane(
+  private createPlane(
     identity: PeerIdentity,
     counters: CounterSink,
     options: Partial<ControlPlaneOptions>,
@@ -219,7 +219,9 @@
   }
 
   private dial(node: PumpNode, target: PeerAddress): void {
-    const peer = [...this.nodes.values()].find((one) => one.identity.address === target.address);
+    const peer = [...this.nodes.values()].find(
+      (candidate) => candidate.identity.address === target.address,
+    );
     const isReachable =
       peer !== undefined &&
       peer.isUp &&
--- a/test/control/test-fleet.ts
+++ b/test/control/test-fleet.ts
@@ -7,9 +7,9 @@
 
 export const SETTLE_MS = 8_000;
 /** Suspicion, time to refute, and the flood. */
-export const DEATH_MS = 25_000;
+export const DEAD_DETECTION_MS = 25_000;
 /** Longest back-off of a dial, and a fetch. */
-export const HEAL_MS = 15_000;
+export const RECOVERY_MS = 15_000;
 
 export interface Fleet {
   readonly pump: MessagePump;
@@ -42,14 +42,14 @@
 }
 
 /** What the others think of a node. */
-export function opinions({ pump }: Fleet, of: PumpNode): Set<MemberStatus | undefined> {
-  const others = pump.living().filter((node) => node !== of);
+export function statusesOf({ pump }: Fleet, of: PumpNode): Set<MemberStatus | undefined> {
+  const others = pump.runningNodes().filter((node) => node !== of);
   return new Set(others.map((node) => node.plane.memberStatus(of.identity.id)));
 }
 
 export function sourceNumbers({ pump }: Fleet): Set<number> {
-  const living = pump.living();
-  return new Set(living.map((node) => node.plane.snapshot().version.source.number));
+  const running = pump.runningNodes();
+  return new Set(running.map((node) => node.plane.snapshot().version.source.number));
 }
 
 export function countOf({ nodes }: Fleet, counter: string): number {
@@ -57,7 +57,7 @@
 }
 
 /** Every node's snapshots only rose. */
-export function assertOnlyRose({ nodes }: Fleet): void {
+export function assertVersionsOnlyIncrease({ nodes }: Fleet): void {
   for (const node of nodes) {
     const numbers = node.snapshots.map((snapshot) => snapshot.version.source.number);
     expect(numbers).to.deep.equal([...numbers].sort((left, right) => left - right));
--- a/test/dissemination/document-store.test.ts
+++ b/test/dissemination/document-store.test.ts
@@ -49,7 +49,7 @@
 ];
 
 /** Takes what it is given: the mutant that the tables must catch. */
-class CarelessStore extends DocumentStore {
+class UncheckedStore extends DocumentStore {
   protected override isAdmissible(): boolean {
     return true;
   }
@@ -98,7 +98,7 @@
       assertRefused(store, name, values);
       assertRefused(store, name, values);
       expect(counters.get('ferryspool_documents_refused_total')).to.equal(1);
-      expect(() => assertRefused(newStore(CarelessStore).store, name, values)).to.throw();
+      expect(() => assertRefused(newStore(UncheckedStore).store, name, values)).to.throw();
     });
   }
 
@@ -122,7 +122,7 @@
   }
 
   it('would fall back without the rule that versions only rise', () => {
-    expect(heldNumbers(newStore(CarelessStore).store, [3, 1])).to.deep.equal([3, 1]);
+    expect(heldNumbers(newStore(UncheckedStore).store, [3, 1])).to.deep.equal([3, 1]);
   });
 
   it('settles two documents of one number on the same one in either order', () => {
--- a/test/dissemination/receiving.test.ts
+++ b/test/dissemination/receiving.test.ts
@@ -124,19 +124,19 @@
 describe('snapshot chunks', () => {
   const chunks = chunkMessages(4);
   const [first, second] = chunks as [SnapshotChunkMessage, SnapshotChunkMessage];
-  const rest = chunks.slice(1);
+  const afterFirst = chunks.slice(1);
   const damaged = [...chunks.slice(0, -1), { ...(chunks.at(-1) ?? first), entries: [] }];
   for (const { name, messages, expected } of [
     { name: 'in order', messages: chunks, expected: 4 },
     { name: 'with one twice', messages: [first, second, second, ...chunks.slice(2)], expected: 4 },
     { name: 'begun anew', messages: [first, second, ...chunks], expected: 4 },
-    { name: 'without the first', messages: rest, expected: 0 },
+    { name: 'without the first', messages: afterFirst, expected: 0 },
     { name: 'with a gap', messages: [first, ...chunks.slice(2)], expected: 0 },
     { name: 'out of order', messages: [second, first, ...chunks.slice(2)], expected: 0 },
     { name: 'of another digest', messages: damaged, expected: 0 },
     {
       name: 'overtaken by a newer version',
-      messages: [first, deltaMessage(0, 4), ...rest],
+      messages: [first, deltaMessage(0, 4), ...afterFirst],
       expected: 4,
     },
   ]) {
@@ -151,7 +151,7 @@
   it('of an older version, late, do not disturb the ones that are awaited', () => {
     const bench = new Bench(3);
     bench.announce(NEAR, version(4).version);
-    bench.receive(NEAR, first, ...chunkMessages(2), ...rest);
+    bench.receive(NEAR, first, ...chunkMessages(2), ...afterFirst);
     expect(bench.held).to.equal(4);
   });
 
@@ -160,9 +160,11 @@
     bench.announce(NEAR, version(4).version);
     bench.receive(NEAR, first);
     bench.receive(REMOTE, deltaMessage(0, 4));
-    bench.receive(NEAR, ...rest);
+    bench.receive(NEAR, ...afterFirst);
     expect(bench.held).to.equal(4);
-    expect(bench.counters.get('ferryspool_snapshot_chunks_dropped_total')).to.equal(rest.length);
+    expect(bench.counters.get('ferryspool_snapshot_chunks_dropped_total')).to.equal(
+      afterFirst.length,
+    );
     expect(bench.dissemination.nextWakeAt()).to.equal(Infinity);
   });
 
--- a/test/membership/link-quotas.test.ts
+++ b/test/membership/link-quotas.test.ts
@@ -17,9 +17,9 @@
 const OTHER_ZONE = identityOf(2, 'zone-b');
 const OTHER_REGION = identityOf(3, 'zone-c', 'region-2');
 
-function link(peer: PeerIdentity, place: PeerLink['place'], isConfirmed = true): PeerLink {
+function link(peer: PeerIdentity, scope: PeerLink['scope'], isConfirmed = true): PeerLink {
   const role = 'outbound';
-  return { peer, role, place, isConfirmed, heardAt: 0, usedAt: 0, replaces: undefined };
+  return { peer, role, scope, isConfirmed, lastReceivedAt: 0, lastUsedAt: 0, replaces: undefined };
 }
 
 describe('link quotas', () => {
@@ -44,35 +44,35 @@
     ],
   ] as const) {
     it(`of ${neighbours}: ${name}`, () => {
-      const machines = new MachineIndex([SELF, ...others].map((one) => machineOf(one)));
+      const machines = new MachineIndex([SELF, ...others].map((machine) => machineOf(machine)));
       expect(quotasFor(SELF, neighbours, machines)).to.deep.equal({ ...noLinks(), ...expected });
     });
   }
 
   it('count links and dials, and want a first contact when there is no link', () => {
-    const wanted = { ...noLinks(), zone: 2, remote: 1 };
+    const desired = { ...noLinks(), zone: 2, remote: 1 };
     const pending = { ...noLinks(), zone: 1 };
     const links = [link(SAME_ZONE, 'zone')];
-    expect(missingLinks(wanted, links, pending)).to.deep.equal({ ...noLinks(), remote: 1 });
+    expect(missingLinks(desired, links, pending)).to.deep.equal({ ...noLinks(), remote: 1 });
     const alone = { ...noLinks(), zone: 1, remote: 1, contact: 1 };
-    expect(missingLinks(wanted, [], pending)).to.deep.equal(alone);
+    expect(missingLinks(desired, [], pending)).to.deep.equal(alone);
   });
 
   it('make up in another place for one that fails', () => {
-    const wanted = { ...noLinks(), zone: 2, remote: 1 };
+    const desired = { ...noLinks(), zone: 2, remote: 1 };
     const missing = { ...noLinks(), remote: 1 };
-    const made = withFallback(missing, wanted, (place) => place === 'remote');
-    expect(made).to.deep.equal({ ...noLinks(), zone: 1, remote: 1 });
-    expect(withFallback(missing, wanted, () => false)).to.deep.equal(missing);
+    const withSubstitute = withFallback(missing, desired, (scope) => scope === 'remote');
+    expect(withSubstitute).to.deep.equal({ ...noLinks(), zone: 1, remote: 1 });
+    expect(withFallback(missing, desired, () => false)).to.deep.equal(missing);
   });
 
   it('give up one link of a place that has too many, once all places are served', () => {
-    const wanted = { ...noLinks(), zone: 1, remote: 1 };
+    const desired = { ...noLinks(), zone: 1, remote: 1 };
     const extra = [link(SAME_ZONE, 'zone'), link(OTHER_ZONE, 'zone')];
-    expect(surplusLink(wanted, 2, extra)).to.equal(undefined);
+    expect(surplusLink(desired, 2, extra)).to.equal(undefined);
     const all = [...extra, link(OTHER_REGION, 'remote')];
-    expect(surplusLink(wanted, 2, all)?.place).to.equal('zone');
-    expect(surplusLink(wanted, 2, [...extra, link(OTHER_REGION, 'remote', false)])).to.equal(
+    expect(surplusLink(desired, 2, all)?.scope).to.equal('zone');
+    expect(surplusLink(desired, 2, [...extra, link(OTHER_REGION, 'remote', false)])).to.equal(
       undefined,
     );
   });
--- a/test/membership/member-table.test.ts
+++ b/test/membership/member-table.test.ts
@@ -26,7 +26,7 @@
 }
 
 /** Believes whatever it heard last: the mutant that the table must catch. */
-class CredulousTable extends MemberTable {
+class UnrankedTable extends MemberTable {
   protected override mayReplace(): boolean {
     return true;
   }
@@ -145,7 +145,7 @@
 
   it('differs from a table without precedence in the cases that matter', () => {
     const differing = PRECEDENCE.filter(([claims, expected]) => {
-      const table = new CredulousTable(INDEX, DEAD_AFTER_MS);
+      const table = new UnrankedTable(INDEX, DEAD_AFTER_MS);
       claims.forEach((one) => table.apply(claim(one), 0));
       return JSON.stringify(held(table)) !== JSON.stringify(expected);
     });
@@ -165,7 +165,7 @@
     ['a refutation', (table: MemberTable) => table.apply(claim(['alive', 6]), 100), 'alive'],
     [
       'a pause of this node',
-      (table: MemberTable) => table.grantGrace(DEAD_AFTER_MS - 1),
+      (table: MemberTable) => table.restartTimeouts(DEAD_AFTER_MS - 1),
       'suspect',
     ],
   ] as const) {
@@ -232,7 +232,7 @@
 
 describe('a claim about oneself', () => {
   const self = identityOf(0);
-  for (const [heard, leaving, expected] of [
+  for (const [received, leaving, expected] of [
     [['suspect', 1_000], false, ['alive', 1_001]],
     [['dead', 1_000], false, ['alive', 1_001]],
     [['leaving', 1_000], false, ['alive', 1_001]],
@@ -241,12 +241,12 @@
     [['alive', 1_000], false, undefined],
     [['suspect', 1_000], true, undefined],
   ] as const) {
-    it(`${heard.join('@')}${leaving ? ' while leaving' : ''} is answered by ${expected?.join('@') ?? 'nothing'}`, () => {
-      const own = new SelfClaim(self);
+    it(`${received.join('@')}${leaving ? ' while leaving' : ''} is answered by ${expected?.join('@') ?? 'nothing'}`, () => {
+      const selfClaim = new SelfClaim(self);
       if (leaving) {
-        own.leave();
+        selfClaim.leave();
       }
-      const answer = own.refute(claim(heard, self));
+      const answer = selfClaim.refute(claim(received, self));
       const given = answer === undefined ? undefined : [answer.status, answer.member.incarnation];
       expect(given).to.deep.equal(expected);
     });
--- a/test/membership/membership.test.ts
+++ b/test/membership/membership.test.ts
@@ -64,7 +64,7 @@
 }
 
 /** Effects in short: what is sent to whom, and links closed or dialled. */
-function brief(effects: readonly ControlEffect[]): string[] {
+function summarize(effects: readonly ControlEffect[]): string[] {
   return effects.flatMap((effect) => {
     switch (effect.type) {
       case 'send':
@@ -93,8 +93,8 @@
 describe('inbound links', () => {
   it('become neighbours with the first heartbeat, which is answered', () => {
     const bench = new Bench();
-    expect(brief(bench.handle({ type: 'peer-up', peer: PEER }))).to.deep.equal([]);
-    expect(brief(bench.receive(PEER, HEARTBEAT))).to.deep.equal([
+    expect(summarize(bench.handle({ type: 'peer-up', peer: PEER }))).to.deep.equal([]);
+    expect(summarize(bench.receive(PEER, HEARTBEAT))).to.deep.equal([
       `${PEER.id} heartbeat`,
       `${PEER.id} versions`,
     ]);
@@ -112,7 +112,7 @@
     it(`are refused beyond the bound; the peer ${name}`, () => {
       const bench = new Bench({ maxInbound: 1 });
       bench.join(PEER);
-      expect(brief(bench.join(OTHER, heartbeat))).to.deep.equal(expected);
+      expect(summarize(bench.join(OTHER, heartbeat))).to.deep.equal(expected);
       expect(bench.plane.status().neighbours).to.deep.equal([PEER]);
     });
   }
@@ -120,7 +120,7 @@
   it('are refused while the node stops', () => {
     const bench = new Bench();
     bench.handle({ type: 'stop' });
-    expect(brief(bench.join(PEER, FULL_HEARTBEAT))).to.deep.equal([`hang-up ${PEER.id}`]);
+    expect(summarize(bench.join(PEER, FULL_HEARTBEAT))).to.deep.equal([`hang-up ${PEER.id}`]);
   });
 
   it('without a heartbeat are closed when idle, not before', () => {
@@ -128,8 +128,8 @@
     bench.handle({ type: 'peer-up', peer: PEER });
     bench.run(TRANSIENT_IDLE_MS / 2);
     bench.receive(PEER, { type: 'fetch', document: 'source', have: NO_VERSION });
-    expect(brief(bench.run(TRANSIENT_IDLE_MS - 1))).to.deep.equal([]);
-    expect(brief(bench.run(4_000))).to.include(`hang-up ${PEER.id}`);
+    expect(summarize(bench.run(TRANSIENT_IDLE_MS - 1))).to.deep.equal([]);
+    expect(summarize(bench.run(4_000))).to.include(`hang-up ${PEER.id}`);
   });
 });
 
@@ -144,7 +144,7 @@
       bench.join(OTHER);
       bench.run(1_500);
       const lost = bench.handle({ type: 'peer-down', peer: PEER });
-      expect(brief(lost)).to.deep.equal([`dial ${PEER.address}`]);
+      expect(summarize(lost)).to.deep.equal([`dial ${PEER.address}`]);
       expect(bench.plane.memberStatus(PEER.id)).to.equal('suspect');
       bench.handle(answer);
       expect(claims(bench.run(1_500))).to.deep.equal(expected);
@@ -158,7 +158,7 @@
     bench.run(4_000);
     bench.receive(OTHER, HEARTBEAT);
     const effects = bench.run(4_000);
-    expect(brief(effects)).to.include(`hang-up ${PEER.id}`);
+    expect(summarize(effects)).to.include(`hang-up ${PEER.id}`);
     expect(claims(effects)).to.include(`${OTHER.id} ${PEER.id} suspect@1000`);
   });
 
@@ -175,8 +175,8 @@
     const bench = new Bench();
     bench.join(OTHER);
     bench.claim(OTHER, PEER, 'suspect');
-    const told = bench.handle({ type: 'peer-up', peer: PEER });
-    expect(claims(told)).to.deep.equal([`${PEER.id} ${PEER.id} suspect@1000`]);
+    const effects = bench.handle({ type: 'peer-up', peer: PEER });
+    expect(claims(effects)).to.deep.equal([`${PEER.id} ${PEER.id} suspect@1000`]);
   });
 
   it('a member held dead is dialled now and then, so that it may refute', () => {
@@ -190,7 +190,7 @@
       effects.push(...bench.run(2_000), ...bench.receive(OTHER, HEARTBEAT));
     }
     expect(bench.plane.memberStatus(PEER.id)).to.equal('dead');
-    expect(brief(effects)).to.include(`dial ${PEER.address}`);
+    expect(summarize(effects)).to.include(`dial ${PEER.address}`);
   });
 
   it('a new neighbour is told who is leaving', () => {
@@ -213,11 +213,11 @@
 });
 
 describe('components beside the overlay', () => {
-  class Hanger implements ControlComponent {
-    readonly seen: string[] = [];
+  class HangUpComponent implements ControlComponent {
+    readonly receivedTypes: string[] = [];
 
     handle(event: ControlEvent): ControlEffect[] {
-      this.seen.push(event.type === 'message' ? event.message.type : event.type);
+      this.receivedTypes.push(event.type === 'message' ? event.message.type : event.type);
       return event.type === 'message' ? [{ type: 'hang-up', peerId: event.from.id }] : [];
     }
 
@@ -232,14 +232,14 @@
     ['another link is closed', false, [`hang-up ${PEER.id}`]],
   ] as const) {
     it(`hang up: ${name}`, () => {
-      const hanger = new Hanger();
-      const bench = new Bench({ components: [() => hanger] });
+      const component = new HangUpComponent();
+      const bench = new Bench({ components: [() => component] });
       bench.handle({ type: 'peer-up', peer: PEER });
       if (joins) {
         bench.receive(PEER, HEARTBEAT);
       }
-      expect(brief(bench.receive(PEER, release))).to.deep.equal(expected);
-      expect(hanger.seen).to.deep.equal(['start', 'peer-up', 'lease-release']);
+      expect(summarize(bench.receive(PEER, release))).to.deep.equal(expected);
+      expect(component.receivedTypes).to.deep.equal(['start', 'peer-up', 'lease-release']);
     });
   }
 
