--- a/src/control/control-counters.ts
+++ b/src/control/control-counters.ts
@@ -1,4 +1,4 @@
-/** Names of the control plane's counters; see docs/OPERATIONS.md for what each one tells. */
+/** Names of the control plane's counters; docs/OPERATIONS.md describes each of them. */
 export const CONTROL_COUNTERS = {
   documentsAdopted: 'ferryspool_documents_adopted_total',
   documentsRefused: 'ferryspool_documents_refused_total',
--- a/src/control/control-event.ts
+++ b/src/control/control-event.ts
@@ -1,6 +1,6 @@
 /**
- * Events into and effects out of the control plane's decision logic. The logic does no I/O and reads
- * no clock: the runtime, the emulator and the fuzzer all drive it through these types.
+ * Input events and output effects of the control plane's decision logic. The logic does no I/O and
+ * reads no clock: the runtime, the emulator and the fuzzer all drive it through these types.
  */
 import type { ClaimCommand } from '../claims/claim-command.js';
 import type { Suspicion } from '../containment/suspicion.js';
@@ -10,10 +10,10 @@
 import type { OperatorWrite, WriteOutcome } from '../replication/operator-write.js';
 import type { DocumentName, PeerMessage } from '../wire/message.js';
 
-/** The two documents that the platform offers for reading. */
+/** Documents that can be read from the platform. */
 export type PlatformDocument = Extract<DocumentName, 'source' | 'machines'>;
 
-/** What a read of the platform gave. */
+/** Result of a read of the platform. */
 export type PlatformAnswer =
   | {
       readonly outcome: 'document';
@@ -23,7 +23,10 @@
     }
   /** The platform still has the version named in the read. */
   | { readonly outcome: 'not-modified' }
-  /** Malformed, oversized or dangling: refused whole. `number` is 0 where it could not be read. */
+  /**
+   * Malformed, oversized or with dangling references: refused as a whole. `number` is 0 if it could
+   * not be read.
+   */
   | {
       readonly outcome: 'invalid';
       readonly number: number;
@@ -32,10 +35,10 @@
   /** Unreachable, overloaded or too slow. */
   | { readonly outcome: 'unavailable'; readonly retryAfterMs?: number };
 
-/** Something that happened; `handle` gets it with the time at which it happened. */
+/** Input of {@link ControlComponent.handle}, which also receives the time of the event. */
 export type ControlEvent =
   | { readonly type: 'start' }
-  /** The time of `nextWakeAt()` has come, or a little more. */
+  /** The time of `nextWakeAt()` was reached; the event may be slightly late. */
   | { readonly type: 'wake' }
   | { readonly type: 'peer-up'; readonly peer: PeerIdentity }
   /** The last link to the peer closed. */
@@ -48,55 +51,56 @@
       readonly readId: number;
       readonly answer: PlatformAnswer;
     }
-  /** An operator's write came to this node; `onOutcome` is called exactly once, perhaps later. */
+  /** An operator's write was received; `onOutcome` is called exactly once, possibly later. */
   | {
       readonly type: 'operator-write';
       readonly write: OperatorWrite;
       readonly onOutcome: (outcome: WriteOutcome) => void;
     }
-  /** The request path claims an idempotency key, or tells how a claimed request ended. */
+  /** The request path claims an idempotency key or reports the outcome of a claimed request. */
   | { readonly type: 'claim'; readonly command: ClaimCommand }
-  /** The request path has learnt something of requests under which endpoints ended. */
+  /** The request path changed its suspicions of requests that may crash endpoints. */
   | { readonly type: 'suspicions'; readonly changed: readonly Suspicion[] }
-  /** A planned stop: tell the fleet, give leases back. */
+  /** A planned stop: the node announces its departure and releases its leases. */
   | { readonly type: 'stop' };
 
-/** Something to be done; effects of one event are executed in order. */
+/** An action to execute; effects of one event are executed in order. */
 export type ControlEffect =
-  /** Open a link; answered by `peer-up` or `dial-failed`. */
+  /** Open a link; followed by `peer-up` or `dial-failed`. */
   | { readonly type: 'dial'; readonly target: PeerAddress }
   /** Close every link to the peer; no `peer-down` follows. */
   | { readonly type: 'hang-up'; readonly peerId: string }
-  /** Send on an open link; dropped when there is none. */
+  /** Send on an open link; dropped if there is none. */
   | { readonly type: 'send'; readonly to: string; readonly message: PeerMessage }
-  /** Read the platform; must be abandoned after `abortAfterMs`, with `unavailable`. */
+  /** Read from the platform; must be aborted after `abortAfterMs`, with outcome `unavailable`. */
   | {
       readonly type: 'read-platform';
       readonly document: PlatformDocument;
       readonly readId: number;
-      /** Number of the version held, for a conditional read; 0 for none. */
+      /** Number of the held version, for a conditional read; 0 if none is held. */
       readonly knownNumber: number;
       readonly abortAfterMs: number;
     }
-  /** Close the connection to the platform: this node no longer may read. */
+  /** Close the connection to the platform, because this node is no longer a reader. */
   | { readonly type: 'close-platform' }
   /** The configuration in force changed. */
   | { readonly type: 'snapshot-changed'; readonly snapshot: Snapshot }
-  /** A change of state worth one line in the log. */
+  /** Log a state change. */
   | { readonly type: 'state-change'; readonly what: string; readonly detail: string };
 
-/** Where components add to counters; names are Prometheus counter names. */
+/** Destination for counter increments; names are Prometheus counter names. */
 export interface CounterSink {
   /** Adds `by` (default 1) to the counter `name`. */
   add(name: string, by?: number): void;
 }
 
-/** Random numbers for decisions, uniform in [0, 1); seeded in tests. */
+/** Source of random numbers, uniform in [0, 1); seeded in tests. */
 export type RandomSource = () => number;
 
 /**
- * A part of the control plane. `handle` returns effects in order; `nextWakeAt` is the time of the
- * next `wake` it needs, in milliseconds of the same monotonic clock as `nowMs`, or Infinity.
+ * A part of the control plane. `handle` returns effects in order. `nextWakeAt` returns the time at
+ * which the next `wake` event is needed, in milliseconds of the same monotonic clock as `nowMs`, or
+ * Infinity.
  */
 export interface ControlComponent {
   handle(event: ControlEvent, nowMs: number): ControlEffect[];
--- a/src/control/control-options.ts
+++ b/src/control/control-options.ts
@@ -1,4 +1,4 @@
-/** How a control plane is made, and what it says of itself. */
+/** Options and status of a control plane. */
 import type { DocumentMemo } from '../dissemination/document-memo.js';
 import type { SourceReadStatus } from '../dissemination/document-adopter.js';
 import type { SourceRejection } from '../dissemination/rejection-log.js';
@@ -13,7 +13,7 @@
   PlatformDocumentSink,
 } from './control-ports.js';
 
-/** Numbers of a control plane where no others are given; times in milliseconds. */
+/** Default options of a control plane; times in milliseconds. */
 export const CONTROL_DEFAULTS = {
   neighbours: 4,
   maxInbound: 16,
@@ -22,16 +22,16 @@
   deadAfterMs: 12_000,
 } as const;
 
-/** The two ways in which documents reach a control plane from its components. */
+/** Sink for documents that components offer to the control plane. */
 export type DocumentSink = PlatformDocumentSink & OperatorDocumentSink;
 
-/** Makes a component that runs beside dissemination and membership; called once. */
+/** Creates a component that runs alongside dissemination and membership; called once. */
 export type ComponentFactory = (
   documents: DocumentSink,
   fleet: FleetView & OldestMachinesView,
 ) => ControlComponent;
 
-/** How a control plane is made; numbers default to {@link CONTROL_DEFAULTS}. */
+/** Options of a control plane; numbers default to {@link CONTROL_DEFAULTS}. */
 export interface ControlPlaneOptions {
   readonly identity: PeerIdentity;
   readonly seeds: readonly PeerAddress[];
@@ -42,27 +42,29 @@
   readonly heartbeatIntervalMs?: number;
   readonly suspectAfterMs?: number;
   readonly deadAfterMs?: number;
-  /** Shared by nodes of one process in an emulator; a node of its own needs none. */
+  /** Shared by all nodes of an emulator process; a standalone node creates its own. */
   readonly memo?: DocumentMemo;
-  /** The source reader, the operators' replication, and the like. */
+  /** Additional components, such as the source reader and the operators' replication. */
   readonly components?: readonly ComponentFactory[];
 }
 
-/** What a node says of itself. */
+/** Status of a node. */
 export interface ControlStatus {
   readonly identity: PeerIdentity;
   readonly held: HeldVersions;
-  /** Digest of `held`: nodes with the same digest hold the same. */
+  /** Digest of `held`: nodes with the same digest hold the same versions. */
   readonly versionsDigest: string;
   readonly neighbours: readonly PeerIdentity[];
   readonly rejectedSource: SourceRejection | undefined;
-  /** Operators' entries that cannot be applied to the source's document now. */
+  /** Operators' entries that cannot currently be applied to the source document. */
   readonly suspended: readonly ConfigurationFault[];
-  /** When the held source document was adopted, in milliseconds; undefined when none is held. */
+  /**
+   * Time at which the held source document was adopted, in milliseconds; undefined if none is held.
+   */
   readonly sourceAdoptedAtMs: number | undefined;
   readonly sourceReadStatus: SourceReadStatus;
-  /** What each neighbour is known to hold, by its id. */
+  /** Known versions of each neighbour, by its id. */
   readonly neighbourVersions: ReadonlyMap<string, HeldVersions>;
-  /** Machines on the held list. */
+  /** Number of machines in the held list. */
   readonly machines: number;
 }
--- a/src/control/control-plane.ts
+++ b/src/control/control-plane.ts
@@ -1,5 +1,5 @@
 /**
- * The control plane of a node: documents, members and whatever further components run on the same
+ * The control plane of a node: documents, membership and further components that share the same
  * links. Pure decision logic; the runtime and the emulator drive it through `handle`.
  */
 import { Dissemination } from '../dissemination/dissemination.js';
@@ -29,10 +29,9 @@
 import type { FleetView, OldestMachinesView } from './control-ports.js';
 import { isForComponents, isOverlayTraffic } from './message-audience.js';
 
-/** A wake that comes this much late means that the process was paused, in milliseconds. */
+/** Lateness of a wake from which the process is considered to have been paused, in milliseconds. */
 export const LATE_WAKE_MS = 2_000;
 
-/** One node's control plane. */
 export class ControlPlane
   implements ControlComponent, FleetView, OldestMachinesView, NeighbourListener
 {
@@ -42,9 +41,9 @@
   private readonly dissemination: Dissemination;
   private readonly membership: Membership;
   private readonly components: readonly ControlComponent[];
-  /** Peers with an open link, by machine, as the components know them. */
+  /** Peers with an open link, by machine id, as reported to the components. */
   private readonly linkedPeers = new Map<string, PeerIdentity>();
-  /** When the node should next be woken, as last computed. */
+  /** Last computed time of the next wake. */
   private wakeAt = Infinity;
 
   constructor(options: ControlPlaneOptions) {
@@ -93,17 +92,16 @@
     return this.store.configuration().snapshot;
   }
 
-  /** The documents that are held. */
   heldDocuments(): Readonly<Record<DocumentName, VersionedDocument>> {
     return this.store.heldDocuments();
   }
 
-  /** Status of a machine; undefined when nothing is known of it. */
+  /** Status of a machine; undefined if the machine is unknown. */
   memberStatus(machineId: string): MemberStatus | undefined {
     return this.membership.status(machineId);
   }
 
-  /** Every machine that is listed or known, with its status; this node is not among them. */
+  /** Every listed or known machine except this one, with its status. */
   members(): MemberUpdate[] {
     const byId = new Map<string, PeerIdentity>();
     for (const machine of this.store.machines().byId.values()) {
@@ -119,7 +117,7 @@
     }));
   }
 
-  /** Where a machine's node takes requests of other nodes; undefined when it is not known. */
+  /** Address at which a machine accepts relayed requests; undefined if unknown. */
   relayAddress(machineId: string): { address: string; relayPort: number } | undefined {
     const machine = this.store.machines().byId.get(machineId);
     const found = machine ?? this.membership.members.identityOf(machineId);
@@ -142,7 +140,7 @@
     return this.store.machines().oldestOf(group, groups);
   }
 
-  /** The summary for the status page and the resource API. */
+  /** Summary for the status page and the resource API. */
   status(): ControlStatus {
     return {
       identity: this.identity,
@@ -170,7 +168,7 @@
     return this.dissemination.heartbeatMessage();
   }
 
-  /** The process was paused: what others did not do in that time is not held against them. */
+  /** Restarts all timeouts after a pause of this process, during which no messages were handled. */
   protected restartTimeouts(nowMs: number): void {
     this.membership.restartTimeouts(nowMs);
     this.dissemination.restartTimeouts(nowMs);
@@ -236,7 +234,7 @@
     }
   }
 
-  /** Peers whose links the membership closes now: no `peer-down` event follows from outside. */
+  /** Peers whose links are closed by `effects`: no `peer-down` event from the runtime follows. */
   private closedPeers(event: ControlEvent, effects: readonly ControlEffect[]): PeerIdentity[] {
     if (event.type === 'peer-up') {
       this.linkedPeers.set(event.peer.id, event.peer);
@@ -265,7 +263,7 @@
     }
   }
 
-  /** A component may not close a link that the overlay uses; links that it uses are kept. */
+  /** Drops a `hang-up` of an overlay link; a `send` restarts the idle timeout of its link. */
   private addComponentEffect(effect: ControlEffect, nowMs: number, effects: ControlEffect[]): void {
     if (effect.type === 'hang-up' && this.membership.links.isOverlayPeer(effect.peerId)) {
       return;
@@ -284,7 +282,7 @@
     return earliest;
   }
 
-  /** The dissemination's sinks, with the machine list followed by the membership. */
+  /** Document sinks that also apply a new machine list to the membership. */
   private documentSink(): DocumentSink {
     const { documents } = this.dissemination;
     return {
--- a/src/control/control-ports.ts
+++ b/src/control/control-ports.ts
@@ -1,6 +1,6 @@
 /**
- * Ports between parts of the control plane: what the source reader and the replication of operators'
- * writes need from the parts that hold documents and know members.
+ * Interfaces between parts of the control plane: what the source reader and the replication of
+ * operators' writes need from dissemination and membership.
  */
 import type { PeerIdentity } from '../membership/peer-identity.js';
 import type { VersionedDocument } from '../model/document.js';
@@ -9,56 +9,59 @@
 import type { DocumentName, MemberStatus, MemberUpdate } from '../wire/message.js';
 import type { ControlEffect, PlatformAnswer, PlatformDocument } from './control-event.js';
 
-/** Takes what a reader learned from the platform. */
+/** Accepts answers that a reader received from the platform. */
 export interface PlatformDocumentSink {
   /**
-   * Decides on a platform answer: a newer valid document is adopted and passed on; an older one, a
-   * different one under the held number and an invalid one are counted and not followed.
+   * Processes a platform answer: a newer valid document is adopted and propagated. An older
+   * document, a different one with the held number and an invalid one are counted and not adopted.
    * Answers without a document change nothing. `nowMs` is the clock of `ControlComponent.handle`.
    */
   offer(document: PlatformDocument, answer: PlatformAnswer, nowMs: number): ControlEffect[];
-  /** Version number held, for a conditional read; 0 when none is held. */
+  /** Number of the held version, for a conditional read; 0 if none is held. */
   heldNumber(document: PlatformDocument): number;
 }
 
-/** What is known of the machines that elect readers and voters. */
+/** View of the machines that elect readers and voters. */
 export interface ElectorateView {
   readonly identity: PeerIdentity;
-  /** Machines of the zone on the held list, oldest (lowest seniority) first. */
+  /** Machines of the zone in the held list, oldest (lowest seniority number) first. */
   machinesInZone(zone: string): readonly Machine[];
 }
 
-/** What is known of the fleet and its documents, for the replication of operators' writes. */
+/** View of the fleet and its documents, for the replication of operators' writes. */
 export interface FleetView extends ElectorateView {
-  /** Every machine that is listed or known; those that were only listed have incarnation 0. */
+  /**
+   * Every listed or known machine except this one; those that are only listed have incarnation 0.
+   */
   members(): MemberUpdate[];
-  /** Status of a machine; undefined when nothing is known of it. */
+  /** Status of a machine; undefined if the machine is unknown. */
   memberStatus(machineId: string): MemberStatus | undefined;
   /** The held machine list, by machine id. */
   listedMachines(): ReadonlyMap<string, Machine>;
-  /** The documents that are held. */
   heldDocuments(): Readonly<Record<DocumentName, VersionedDocument>>;
-  /** `mergeDocuments`, with recent results remembered. */
+  /** Memoized `mergeDocuments`. */
   merge(source: VersionedDocument, operator: VersionedDocument): MergedConfiguration;
 }
 
-/** Takes the operators' document that the replication holds as accepted. */
+/** Accepts the operators' documents that the replication has accepted. */
 export interface OperatorDocumentSink {
-  /** Adopts and passes on `document` when it is newer than the one held; else changes nothing. */
+  /**
+   * Adopts and propagates `document` if it is newer than the held one; otherwise changes nothing.
+   */
   offerOperator(document: VersionedDocument, nowMs: number): ControlEffect[];
   /** The operators' document in force on this node. */
   operatorDocument(): VersionedDocument;
 }
 
-/** The machines that hold claims on idempotency keys. */
+/** View of the machines that hold claims on idempotency keys. */
 export interface OldestMachinesView {
   readonly identity: PeerIdentity;
   /**
-   * The oldest machines (lowest seniority) of a group of the held list, `OLDEST_MACHINES` at most;
-   * see `fleetGroupOf`. The same array until the list changes.
+   * The oldest machines (lowest seniority number) of a group of the held list, at most
+   * {@link MAX_OLDEST_MACHINES}; see `fleetGroupOf`. The same array until the list changes.
    */
   oldestMachines(group: number, groups: number): readonly Machine[];
 }
 
-/** Machines that {@link OldestMachinesView} names at most. */
+/** Maximum number of machines returned by {@link OldestMachinesView.oldestMachines}. */
 export const MAX_OLDEST_MACHINES = 5;
--- a/src/control/fleet-group.ts
+++ b/src/control/fleet-group.ts
@@ -1,4 +1,4 @@
-/** Groups of a fleet by hash, so that work for keys is spread over machines. */
+/** Hash-based groups of a fleet, which distribute the work for keys over machines. */
 import { createHash } from 'node:crypto';
 
 /** The group of a machine or key, from 0 to `groups` - 1; the same on every node. */
--- a/src/control/message-audience.ts
+++ b/src/control/message-audience.ts
@@ -1,8 +1,8 @@
-/** Which part of the control plane a message is for. */
+/** Determines which parts of the control plane handle a message. */
 import type { PeerMessage } from '../wire/message.js';
 import type { ControlEvent } from './control-event.js';
 
-/** Messages that flow on overlay links by themselves: they do not keep any other link open. */
+/** Whether a message is routine overlay traffic, which does not keep a transient link open. */
 export function isOverlayTraffic(message: PeerMessage): boolean {
   switch (message.type) {
     case 'heartbeat':
@@ -17,7 +17,9 @@
   }
 }
 
-/** Messages of dissemination and membership alone; components do not get to see them. */
+/**
+ * Whether components receive the event; messages only for dissemination or membership are excluded.
+ */
 export function isForComponents(event: ControlEvent): boolean {
   if (event.type !== 'message') {
     return true;
--- a/src/control/target-links.ts
+++ b/src/control/target-links.ts
@@ -1,25 +1,25 @@
 /**
- * Links of one component to chosen peers: sends on the link that is open, dials where there is none.
- * Links that were dialled for this are closed by the membership when they have been idle.
+ * Links of one component to specific peers: sends on an open link, or dials if there is none. The
+ * membership closes the dialled links when they are idle.
  */
 import type { PeerAddress, PeerIdentity } from '../membership/peer-identity.js';
 import type { PeerMessage } from '../wire/message.js';
 import type { ControlEffect } from './control-event.js';
 
-/** Messages that wait for one link at most; the oldest are dropped. */
+/** Maximum number of messages queued for one link; the oldest are dropped. */
 const MAX_WAITING_MESSAGES = 1_024;
 
-/** A peer to send to. */
+/** Peer to which messages are sent. */
 export interface LinkTarget extends PeerAddress {
-  /** Identity of the machine; undefined where only the address is known. */
+  /** Machine id; undefined if only the address is known. */
   readonly id: string | undefined;
 }
 
-/** How a message waits for a link that is not open. */
+/** How a message is queued until a link opens. */
 export interface LinkWait {
-  /** A newer message with the same key replaces the one that waits. */
+  /** A newer message with the same key replaces the queued one. */
   readonly key: string;
-  /** The message is of no use from then on. */
+  /** Time from which the message is dropped, in milliseconds. */
   readonly untilMs: number;
 }
 
@@ -28,13 +28,13 @@
   readonly untilMs: number;
 }
 
-/** Knows the open links by what the control plane tells of peers. */
+/** Tracks open links by the peer events of the control plane and queues messages for others. */
 export class TargetLinks {
   private readonly peers = new Map<string, PeerIdentity>();
-  /** By address, then by key. */
+  /** Queued messages, by address and then by key. */
   private readonly waiting = new Map<string, Map<string, WaitingMessage>>();
 
-  /** Sends on an open link; else dials and keeps the message, or drops it where `wait` is absent. */
+  /** Sends on an open link; else dials and queues the message, or drops it if `wait` is absent. */
   send(target: LinkTarget, message: PeerMessage, wait?: LinkWait): ControlEffect[] {
     const peer = this.find(target);
     if (peer !== undefined) {
@@ -55,7 +55,7 @@
     return isDialling ? [] : [{ type: 'dial', target: dialled }];
   }
 
-  /** A link is open: sends what waits for it. */
+  /** Records an opened link and sends the messages queued for it. */
   peerUp(peer: PeerIdentity, nowMs: number): ControlEffect[] {
     this.peers.set(peer.id, peer);
     const messages = [...(this.waiting.get(addressKey(peer))?.values() ?? [])];
@@ -65,19 +65,22 @@
       .map(({ message }) => ({ type: 'send', to: peer.id, message }));
   }
 
-  /** A link closed; one to a later process of the same machine stays. */
+  /** Removes a closed link, unless a newer process of the same machine has replaced it. */
   peerDown(peer: PeerIdentity): void {
     if (this.peers.get(peer.id)?.incarnation === peer.incarnation) {
       this.peers.delete(peer.id);
     }
   }
 
-  /** Nothing listens there: what waits is dropped. */
+  /** Drops the messages queued for a target that could not be dialled. */
   dialFailed(target: PeerAddress): void {
     this.waiting.delete(addressKey(target));
   }
 
-  /** The target did not answer: its link may be gone without a word, so the next use dials. */
+  /**
+   * Forgets the link to a target that did not answer, because the link may be dead without having
+   * been closed; the next message dials again.
+   */
   unanswered(target: LinkTarget): void {
     const peer = this.find(target);
     if (peer !== undefined) {
@@ -107,7 +110,7 @@
   return target.address === peer.address && target.controlPort === peer.controlPort;
 }
 
-/** Text that names an address and port. */
+/** Address and port as a map key. */
 export function addressKey(address: PeerAddress): string {
   return `${address.address}:${address.controlPort}`;
 }
--- a/src/dissemination/bounded-map.ts
+++ b/src/dissemination/bounded-map.ts
@@ -1,8 +1,8 @@
-/** A map that forgets its oldest entries, for memos whose loss costs only time. */
+/** A map that evicts its oldest entries, for caches whose entries can be recomputed. */
 export class BoundedMap<Key, Value> {
   private readonly entries = new Map<Key, Value>();
 
-  /** `capacity` is the number of entries kept at most. */
+  /** `capacity` is the maximum number of entries. */
   constructor(private readonly capacity: number) {}
 
   get size(): number {
@@ -17,7 +17,7 @@
     return this.entries.get(key);
   }
 
-  /** Adds or replaces an entry, which then is the youngest. */
+  /** Adds or replaces an entry, which becomes the newest, and evicts the oldest one if needed. */
   set(key: Key, value: Value): void {
     this.entries.delete(key);
     this.entries.set(key, value);
--- a/src/dissemination/dissemination.ts
+++ b/src/dissemination/dissemination.ts
@@ -1,6 +1,6 @@
 /**
- * Spreads the three documents over the overlay: a small change is pushed as a delta, a larger one is
- * announced and fetched; the digest on heartbeats finds what was missed.
+ * Replicates the three documents over the overlay: a small change is pushed as a delta, a larger
+ * one is announced and fetched. The digest in heartbeats detects missed changes.
  */
 import type { ControlEffect, CounterSink, RandomSource } from '../control/control-event.js';
 import { CONTROL_COUNTERS } from '../control/control-counters.js';
@@ -23,19 +23,19 @@
 import { SnapshotServer } from './snapshot-server.js';
 import { VersionAnnouncer } from './version-announcer.js';
 
-/** What dissemination needs. */
+/** Options of the dissemination. */
 export interface DisseminationOptions {
   readonly self: PeerIdentity;
   readonly store: DocumentStore;
   readonly random: RandomSource;
   readonly counters: CounterSink;
-  /** Least time between two announcements to a neighbour without a change, in milliseconds. */
+  /** Minimum interval between announcements to a neighbour without a change, in milliseconds. */
   readonly announcementIntervalMs: number;
 }
 
-/** The replication of documents between overlay neighbours. */
+/** Replicates documents between overlay neighbours. */
 export class Dissemination {
-  /** Where documents come into force. */
+  /** Adopts documents from all sources. */
   readonly documents: DocumentAdopter;
   private readonly store: DocumentStore;
   private readonly counters: CounterSink;
@@ -67,12 +67,12 @@
     return this.announcer.heartbeatMessage();
   }
 
-  /** The newest source version that was refused and not overtaken, with the reason. */
+  /** The newest refused source version that no adopted version supersedes, with the reason. */
   rejectedSource(): SourceRejection | undefined {
     return this.rejections.current();
   }
 
-  /** What each neighbour is known to hold, by its id; neighbours that have not said are left out. */
+  /** Versions held by each neighbour, by its id; omits neighbours whose versions are unknown. */
   neighbourVersions(): Map<string, HeldVersions> {
     const versions = new Map<string, HeldVersions>();
     for (const [id, { knownVersions }] of this.announcer.neighbours) {
@@ -83,7 +83,7 @@
     return versions;
   }
 
-  /** Time of the next `wake` that is needed, in milliseconds. */
+  /** Time at which {@link wake} must be called next, in milliseconds. */
   nextWakeAt(): number {
     const { source, operator, machines } = this.fetchers;
     return Math.min(
@@ -94,7 +94,7 @@
     );
   }
 
-  /** Acts on what is due. */
+  /** Handles all timers that are due. */
   wake(nowMs: number, effects: ControlEffect[]): void {
     this.server.wake(nowMs, effects);
     for (const name of DOCUMENT_NAMES) {
@@ -102,20 +102,20 @@
     }
   }
 
-  /** The node was paused: outstanding fetches get their whole time again. */
+  /** Restarts the timeouts of outstanding fetches after a pause of this process. */
   restartTimeouts(nowMs: number): void {
     for (const name of DOCUMENT_NAMES) {
       this.fetchers[name].restartTimeouts(nowMs);
     }
   }
 
-  /** A neighbour was confirmed: tell it what is held here. */
+  /** Adds a confirmed neighbour and sends it the held versions and the current rejection. */
   addNeighbour(peer: PeerIdentity, nowMs: number, effects: ControlEffect[]): void {
     this.announcer.add(peer, nowMs, effects);
     this.rejections.sendCurrent(peer.id, effects);
   }
 
-  /** A neighbour is no longer one. */
+  /** Removes a peer that is no longer a neighbour. */
   removeNeighbour(peerId: string, nowMs: number, effects: ControlEffect[]): void {
     this.announcer.neighbours.delete(peerId);
     this.server.removePeer(peerId);
@@ -129,12 +129,12 @@
     }
   }
 
-  /** The link of a peer that was no neighbour closed. */
+  /** Ends the transfers to a peer whose link closed. */
   removePeer(peerId: string): void {
     this.server.removePeer(peerId);
   }
 
-  /** Handles a message; those of other parts of the control plane are left alone. */
+  /** Handles a message; ignores those for other parts of the control plane. */
   handleMessage(from: string, message: PeerMessage, nowMs: number, effects: ControlEffect[]): void {
     switch (message.type) {
       case 'heartbeat':
@@ -210,7 +210,10 @@
     fetcher.scheduleFetch(nowMs, effects);
   }
 
-  /** A change that did not fit is followed by a whole fetch; a whole that did not, by another peer. */
+  /**
+   * Handles a digest mismatch: after an incremental delta, the next fetch requests the full
+   * document; after a full document, the peer is skipped for a while.
+   */
   private handleMismatch(
     fetcher: DocumentFetcher,
     from: string,
--- a/src/dissemination/document-adopter.ts
+++ b/src/dissemination/document-adopter.ts
@@ -1,6 +1,6 @@
 /**
- * Puts documents into force, wherever they come from: the platform, the operators' replication or a
- * neighbour. What was adopted is passed on; what was refused is told once to the fleet.
+ * Adopts documents from the platform, the operators' replication and neighbours. Adopted documents
+ * are propagated to the neighbours. Each refused source version is reported to the fleet once.
  */
 import type {
   ControlEffect,
@@ -18,15 +18,18 @@
 import type { RejectionFlood } from './rejection-flood.js';
 import type { VersionAnnouncer } from './version-announcer.js';
 
-/** What this node's own reads of the configuration source have shown; peers' reads are not in it. */
+/** Result of this node's own reads of the configuration source; excludes reads by peers. */
 export interface SourceReadStatus {
-  /** When the source last answered a read of this node, in milliseconds; undefined if never. */
+  /**
+   * Time of the last answer of the source to a read of this node, in milliseconds; undefined if
+   * none.
+   */
   readonly lastAnswerAtMs: number | undefined;
-  /** Whether that answer was older than, or in conflict with, what was held. */
+  /** Whether that answer was older than the held document or in conflict with it. */
   readonly isStale: boolean;
 }
 
-/** The one way in which a held document changes. */
+/** The only component that changes the held documents. */
 export class DocumentAdopter implements PlatformDocumentSink, OperatorDocumentSink {
   private readonly adoptedAt = new Map<DocumentName, number>();
   private sourceReads: SourceReadStatus = { lastAnswerAtMs: undefined, isStale: false };
@@ -38,12 +41,11 @@
     private readonly counters: CounterSink,
   ) {}
 
-  /** When the held version was adopted, in milliseconds; undefined when nothing is held. */
+  /** Time at which the held version was adopted, in milliseconds; undefined if none is held. */
   adoptedAtMs(name: DocumentName): number | undefined {
     return this.adoptedAt.get(name);
   }
 
-  /** What reads of the source by this node have shown. */
   sourceReadStatus(): SourceReadStatus {
     return this.sourceReads;
   }
@@ -89,7 +91,7 @@
     return this.store.held('operator');
   }
 
-  /** Adopts a document heard from `from`, or found here; returns whether it is now in force. */
+  /** Adopts a document from neighbour `from`, or from this node; returns whether it was adopted. */
   adopt(
     name: DocumentName,
     document: VersionedDocument,
@@ -115,7 +117,7 @@
     return true;
   }
 
-  /** A rejection was heard from a neighbour. */
+  /** Records a rejection from neighbour `from`, or from this node. */
   learnRejection(
     version: DocumentVersion,
     reason: string,
--- a/src/dissemination/document-fetcher.ts
+++ b/src/dissemination/document-fetcher.ts
@@ -1,6 +1,6 @@
 /**
- * Gets one document from neighbours that hold a newer version: one fetch at a time, near neighbours
- * first, the next neighbour after a timeout or a refusal.
+ * Fetches one document from neighbours that hold a newer version: one fetch at a time, the nearest
+ * neighbours first. After a timeout or a refusal, it tries the next neighbour.
  */
 import type { ControlEffect, CounterSink, RandomSource } from '../control/control-event.js';
 import { CONTROL_COUNTERS } from '../control/control-counters.js';
@@ -12,13 +12,13 @@
 import type { DocumentStore } from './document-store.js';
 import type { Neighbour } from './neighbour.js';
 
-/** Time without progress after which a fetch is given up, in milliseconds. */
+/** Time without progress after which a fetch fails, in milliseconds. */
 export const FETCH_TIMEOUT_MS = 3_000;
-/** How long a neighbour that let a fetch time out is passed over, in milliseconds. */
+/** How long a neighbour is skipped after a fetch from it timed out, in milliseconds. */
 export const FETCH_PENALTY_MS = 5_000;
-/** Entries of one document at most. */
+/** Maximum number of entries in a document. */
 export const MAX_DOCUMENT_ENTRIES = 250_000;
-/** Longest wait before a fetch, so that a nearer neighbour may get the document first. */
+/** Maximum delay before a fetch, so that a nearer neighbour may receive the document first. */
 const MAX_FETCH_DELAY_MS: Record<Distance, number> = { zone: 0, region: 100, remote: 300 };
 const DISTANCE_RANK: Record<Distance, number> = { zone: 0, region: 1, remote: 2 };
 
@@ -35,20 +35,23 @@
   nextIndex: number;
 }
 
-/** A whole document received, not yet checked against its digest. */
+/** A fully received document that has not been verified against its digest. */
 export interface ReceivedDocument {
   readonly version: DocumentVersion;
   readonly entries: readonly DocumentEntry[];
 }
 
-/** The fetching side of one document. */
+/** Fetches one document. */
 export class DocumentFetcher {
   private outstanding: OutstandingFetch | undefined;
-  /** Time of the next attempt; Infinity when none is planned. */
+  /** Time of the next attempt; Infinity if none is scheduled. */
   private attemptAt = Infinity;
-  /** Neighbours passed over, until when. */
+  /** Skipped neighbours, and the time until which each is skipped. */
   private readonly skippedUntil = new Map<string, number>();
-  /** Held version that no delta fits: from it the whole document is asked for. */
+  /**
+   * Held version to which a delta did not apply; while it is held, fetches request the full
+   * document.
+   */
   private fullFetchBase: DocumentVersion | undefined;
 
   constructor(
@@ -64,7 +67,9 @@
     return this.outstanding?.deadline ?? this.attemptAt;
   }
 
-  /** Plans a fetch when a neighbour holds something newer; call it when that may have changed. */
+  /**
+   * Schedules a fetch if a neighbour holds a newer version; called whenever that may have changed.
+   */
   scheduleFetch(nowMs: number, effects: ControlEffect[]): void {
     const assembly = this.outstanding?.assembly;
     if (assembly !== undefined && !this.store.wants(this.name, assembly.version)) {
@@ -85,7 +90,7 @@
     }
   }
 
-  /** Acts on a timeout or a planned attempt that is due. */
+  /** Handles a timeout or a scheduled attempt that is due. */
   wake(nowMs: number, effects: ControlEffect[]): void {
     if (this.outstanding !== undefined && nowMs >= this.outstanding.deadline) {
       this.counters.add(CONTROL_COUNTERS.fetchTimeouts);
@@ -102,49 +107,51 @@
     }
   }
 
-  /** The node was paused: what is outstanding gets its whole time again. */
+  /** Restarts the timeout of the outstanding fetch after a pause of this process. */
   restartTimeouts(nowMs: number): void {
     if (this.outstanding !== undefined) {
       this.outstanding.deadline = nowMs + FETCH_TIMEOUT_MS;
     }
   }
 
-  /** The neighbour answered, with or without what was asked for. */
+  /** Ends the fetch from a neighbour that answered, whether or not it sent the document. */
   answered(peerId: string): void {
     if (this.outstanding?.peerId === peerId) {
       this.outstanding = undefined;
     }
   }
 
-  /** Whether this node waits for an answer of the peer. */
+  /** Whether a fetch from the peer is outstanding. */
   isWaitingFor(peerId: string): boolean {
     return this.outstanding?.peerId === peerId;
   }
 
-  /** The neighbour refused for now. */
+  /** Skips a neighbour that refused the outstanding fetch until its retry time. */
   refused(peerId: string, retryAfterMs: number, nowMs: number): void {
     if (this.outstanding?.peerId === peerId) {
       this.skipUntil(peerId, nowMs + Math.min(retryAfterMs, FETCH_PENALTY_MS));
     }
   }
 
-  /** A delta did not fit what is held: the next fetch asks for the whole document. */
+  /**
+   * Makes the next fetch request the full document, after a delta did not apply to the held one.
+   */
   requireFullDocument(): void {
     this.fullFetchBase = this.store.held(this.name).version;
   }
 
-  /** The neighbour is gone. */
+  /** Ends the fetch from a peer that is no longer a neighbour. */
   removeNeighbour(peerId: string): void {
     this.skippedUntil.delete(peerId);
     this.answered(peerId);
   }
 
-  /** The neighbour sent a document that does not have its digest. */
+  /** Skips a neighbour that sent a full document that does not match its digest. */
   digestMismatched(peerId: string, nowMs: number): void {
     this.skipUntil(peerId, nowMs + FETCH_PENALTY_MS);
   }
 
-  /** Takes a chunk; returns the document when it was the last one. Others are dropped. */
+  /** Adds a chunk; returns the document after its last one. Drops chunks that were not expected. */
   receiveChunk(
     peerId: string,
     message: SnapshotChunkMessage,
--- a/src/dissemination/document-memo.ts
+++ b/src/dissemination/document-memo.ts
@@ -1,7 +1,7 @@
 /**
- * Results that depend only on the content of immutable documents: applied deltas, merges, machine
- * indexes, parts. One node recomputes none of them; an emulator injects one memo into all its nodes,
- * which then share documents. Losing an entry costs only time.
+ * Memoizes results that depend only on the content of immutable documents: applied deltas, merges,
+ * machine indexes and chunks, so that a node computes each only once. An emulator injects one memo
+ * into all its nodes, which then share documents. Evicted entries are recomputed.
  */
 import { MachineIndex } from '../membership/machine-index.js';
 import { InvalidConfigurationError } from '../model/configuration-error.js';
@@ -18,7 +18,7 @@
 import { BoundedMap } from './bounded-map.js';
 import { deltaBytes, partsOf, type DocumentParts } from './document-parts.js';
 
-/** Results kept of each sort unless told otherwise. */
+/** Default capacity for each kind of result. */
 export const DEFAULT_MEMO_CAPACITY = 8;
 
 /** A delta with its size on the wire, in bytes. */
@@ -27,7 +27,6 @@
   readonly bytes: number;
 }
 
-/** A bounded memo; see the module's comment. */
 export class DocumentMemo {
   private readonly documents: BoundedMap<string, VersionedDocument>;
   private readonly merges: BoundedMap<string, MergedConfiguration | InvalidConfigurationError>;
@@ -46,13 +45,17 @@
     this.merges = new BoundedMap(capacity);
   }
 
-  /** The document after `delta`; throws {@link DeltaMismatchError} when it is not what it promises. */
+  /**
+   * Applies `delta`; throws a {@link DeltaMismatchError} if the result does not match its version.
+   */
   apply(name: DocumentName, held: VersionedDocument, delta: DocumentDelta): VersionedDocument {
     const base = delta.from.number === 0 ? VersionedDocument.empty() : held;
     return this.document(name, delta.to, () => base.apply(delta));
   }
 
-  /** The document made of all its entries; throws {@link DeltaMismatchError} on another digest. */
+  /**
+   * Builds a document from its entries; throws a {@link DeltaMismatchError} if the digest differs.
+   */
   assemble(
     name: DocumentName,
     version: DocumentVersion,
@@ -61,13 +64,13 @@
     return this.document(name, version, () => {
       const document = VersionedDocument.fromEntries(version.number, entries);
       if (document.version.digest !== version.digest) {
-        throw new DeltaMismatchError(`chunks do not give digest ${version.digest}`);
+        throw new DeltaMismatchError(`snapshot chunks do not match digest ${version.digest}`);
       }
       return document;
     });
   }
 
-  /** The merge of a pair; throws {@link InvalidConfigurationError} as `mergeDocuments` does. */
+  /** Merges two documents; throws an {@link InvalidConfigurationError} as `mergeDocuments` does. */
   merge(source: VersionedDocument, operator: VersionedDocument): MergedConfiguration {
     const key = `${versionKey(source.version)}/${versionKey(operator.version)}`;
     let outcome = this.merges.get(key);
@@ -78,7 +81,7 @@
     return resultOf(outcome);
   }
 
-  /** The index of a machines document; throws {@link InvalidConfigurationError}. */
+  /** Index of a machines document; throws an {@link InvalidConfigurationError} if it is invalid. */
   machineIndex(document: VersionedDocument): MachineIndex {
     let outcome = this.machines.get(document);
     if (outcome === undefined) {
@@ -88,7 +91,6 @@
     return resultOf(outcome);
   }
 
-  /** The parts of a document. */
   partsOf(document: VersionedDocument): DocumentParts {
     let parts = this.parts.get(document);
     if (parts === undefined) {
@@ -98,7 +100,7 @@
     return parts;
   }
 
-  /** The delta from `from` to `document`, or undefined when history does not reach back. */
+  /** The delta from `from` to `document`; undefined if the history does not include `from`. */
   deltaFrom(document: VersionedDocument, from: DocumentVersion): SizedDelta | undefined {
     let cached = this.deltas.get(document);
     if (cached === undefined) {
--- a/src/dissemination/document-parts.ts
+++ b/src/dissemination/document-parts.ts
@@ -1,32 +1,32 @@
-/** Sizes of entries on the wire, and the parts in which a whole document travels. */
+/** Sizes of entries on the wire, and the chunks in which a full document is sent. */
 import type { DocumentDelta, DocumentEntry, VersionedDocument } from '../model/document.js';
 
-/** Entries of one snapshot chunk, in bytes, unless a single entry is larger. */
+/** Maximum size of the entries in one snapshot chunk, in bytes, unless a single entry is larger. */
 export const MAX_CHUNK_BYTES = 48 * 1024;
-/** Deltas below this many bytes are pushed unasked. */
+/** Deltas smaller than this are pushed without a request. */
 export const MAX_PUSHED_DELTA_BYTES = 2 * 1024;
-/** Length prefixes and the version number of one entry, in bytes. */
+/** Size of the length prefixes and the version number of one entry, in bytes. */
 const ENTRY_OVERHEAD_BYTES = 14;
 
-/** About what an entry takes on the wire, in bytes. */
+/** Approximate size of an entry on the wire, in bytes. */
 export function entryBytes(entry: DocumentEntry): number {
   return entry.key.length + Buffer.byteLength(entry.json) + ENTRY_OVERHEAD_BYTES;
 }
 
-/** About what a delta's changes take on the wire, in bytes. */
+/** Approximate size of a delta's changes on the wire, in bytes. */
 export function deltaBytes(delta: DocumentDelta): number {
   const upserts = delta.upserts.reduce((sum, entry) => sum + entryBytes(entry), 0);
   return delta.removals.reduce((sum, key) => sum + key.length + ENTRY_OVERHEAD_BYTES, upserts);
 }
 
-/** A whole document cut into chunks. */
+/** A full document split into chunks. */
 export interface DocumentParts {
-  /** At least one chunk, perhaps an empty one. */
+  /** At least one chunk, which may be empty. */
   readonly chunks: readonly (readonly DocumentEntry[])[];
   readonly bytes: number;
 }
 
-/** Cuts a document into chunks of at most {@link MAX_CHUNK_BYTES}. */
+/** Splits a document into chunks of at most {@link MAX_CHUNK_BYTES}, unless an entry is larger. */
 export function partsOf(document: VersionedDocument): DocumentParts {
   const chunks: DocumentEntry[][] = [];
   let chunk: DocumentEntry[] = [];
--- a/src/dissemination/document-store.ts
+++ b/src/dissemination/document-store.ts
@@ -1,6 +1,6 @@
 /**
- * The documents that a node holds. A held version only rises; a document is validated whole before it
- * is adopted, and one that is not valid is refused whole and remembered.
+ * The documents that a node holds. Held versions only increase. A document is fully validated
+ * before it is adopted; an invalid one is refused as a whole, and its version is remembered.
  */
 import type { CounterSink } from '../control/control-event.js';
 import { CONTROL_COUNTERS } from '../control/control-counters.js';
@@ -14,16 +14,16 @@
 import { BoundedMap } from './bounded-map.js';
 import type { DocumentMemo } from './document-memo.js';
 
-/** Refused versions remembered, over all documents. */
+/** Maximum number of remembered refused versions, over all documents. */
 export const MAX_REFUSED_VERSIONS = 64;
 
-/** What became of a document that was put forward. */
+/** Outcome of {@link DocumentStore.adopt}. */
 export type Adoption =
   | { readonly outcome: 'adopted'; readonly previous: DocumentVersion }
   | { readonly outcome: 'not-newer' }
   | { readonly outcome: 'refused'; readonly reason: string };
 
-/** Held documents and what is derived from them. */
+/** Held documents and the state derived from them. */
 export class DocumentStore {
   private readonly documents: Record<DocumentName, VersionedDocument> = {
     source: VersionedDocument.empty(),
@@ -45,17 +45,17 @@
     this.digest = versionsDigest(this.heldVersions);
   }
 
-  /** The held document; empty when none is held. */
+  /** The held document; empty if none is held. */
   held(name: DocumentName): VersionedDocument {
     return this.documents[name];
   }
 
-  /** All held documents, as they are now. */
+  /** A copy of the current set of held documents. */
   heldDocuments(): Readonly<Record<DocumentName, VersionedDocument>> {
     return { ...this.documents };
   }
 
-  /** Versions of all held documents; the same object until one changes. */
+  /** Versions of all held documents; the same object until a version changes. */
   versions(): HeldVersions {
     return this.heldVersions;
   }
@@ -65,12 +65,12 @@
     return this.digest;
   }
 
-  /** The configuration in force and the operators' entries that are suspended. */
+  /** The configuration in force and the suspended operators' entries. */
   configuration(): MergedConfiguration {
     return this.merged;
   }
 
-  /** The held machine list. */
+  /** Index of the held machine list. */
   machines(): MachineIndex {
     return this.index;
   }
@@ -102,12 +102,12 @@
     return { outcome: 'adopted', previous };
   }
 
-  /** Whether a candidate may replace the held version: the rule that versions only rise. */
+  /** Whether a candidate may replace the held version: versions only increase. */
   protected isAdmissible(candidate: DocumentVersion, held: DocumentVersion): boolean {
     return isNewer(candidate, held);
   }
 
-  /** Computes what follows from the document; throws and changes nothing when it is not valid. */
+  /** Updates the derived state; throws without changing anything if the document is invalid. */
   protected validate(name: DocumentName, document: VersionedDocument): void {
     switch (name) {
       case 'source':
--- a/src/dissemination/neighbour.ts
+++ b/src/dissemination/neighbour.ts
@@ -1,22 +1,22 @@
-/** What a node knows of the documents of one overlay neighbour. */
+/** Dissemination state of one overlay neighbour. */
 import { distanceBetween, type Distance, type PeerIdentity } from '../membership/peer-identity.js';
 import type { HeldVersions } from '../wire/message.js';
 
-/** One overlay neighbour. */
 export interface Neighbour {
   readonly peer: PeerIdentity;
   readonly distance: Distance;
-  /** What it is known, or about to, hold; undefined until it has said so. */
+  /**
+   * Versions that it holds or that were sent to it; undefined until it has announced its versions.
+   */
   knownVersions: HeldVersions | undefined;
-  /** Heartbeats in a row whose digest differed from this node's. */
+  /** Consecutive heartbeats whose digest differed from this node's. */
   differingHeartbeats: number;
   /** Earliest time of the next announcement that is not caused by a change, in milliseconds. */
   nextAnnouncementAt: number;
-  /** Digest of this node's versions when it last announced them here. */
+  /** Digest of this node's versions when they were last announced to the neighbour. */
   announcedDigest: string;
 }
 
-/** A neighbour of which nothing is known yet. */
 export function newNeighbour(self: PeerIdentity, peer: PeerIdentity): Neighbour {
   return {
     peer,
--- a/src/dissemination/platform-verdict.ts
+++ b/src/dissemination/platform-verdict.ts
@@ -1,21 +1,20 @@
-/** Judges what a read of the platform gave against the document that is held. */
+/** Compares the answer of the platform with the held document. */
 import type { PlatformAnswer } from '../control/control-event.js';
 import { InvalidConfigurationError } from '../model/configuration-error.js';
 import type { VersionedDocument } from '../model/document.js';
 import { NO_VERSION, compareVersions, type DocumentVersion } from '../model/version.js';
 import { unreadableVersion } from './rejection-log.js';
 
-/** What an answer means. */
+/** Classification of an answer. */
 export type PlatformVerdict =
   | { readonly outcome: 'newer'; readonly document: VersionedDocument }
-  /** An older number than the held one: a stale or restarted platform. */
+  /** The number is lower than the held one: the platform is stale or was restarted. */
   | { readonly outcome: 'stale' }
-  /** Another content under the held number. */
+  /** The content differs from the held document with the same number. */
   | { readonly outcome: 'conflict' }
   | { readonly outcome: 'invalid'; readonly version: DocumentVersion; readonly reason: string }
   | { readonly outcome: 'nothing' };
 
-/** Compares an answer with the held document. */
 export function judgePlatformAnswer(
   held: VersionedDocument,
   answer: PlatformAnswer,
--- a/src/dissemination/rejection-flood.ts
+++ b/src/dissemination/rejection-flood.ts
@@ -1,27 +1,27 @@
-/** Spreads the reasons for which source versions were refused: once for each version. */
+/** Floods the reasons for which source versions were refused, once for each version. */
 import type { ControlEffect } from '../control/control-event.js';
 import type { DocumentVersion } from '../model/version.js';
 import type { RejectionMessage } from '../wire/message.js';
 import { RejectionLog, type SourceRejection } from './rejection-log.js';
 
-/** The rejections known to a node and their flood. */
+/** Records rejections and floods new ones. */
 export class RejectionFlood {
   private readonly log = new RejectionLog();
 
-  /** `neighbourIds` gives the overlay neighbours of the moment. */
+  /** `neighbourIds` returns the current overlay neighbours. */
   constructor(private readonly neighbourIds: () => Iterable<string>) {}
 
-  /** The newest rejection that no adopted source version has overtaken. */
+  /** The newest rejection that no adopted source version supersedes. */
   current(): SourceRejection | undefined {
     return this.log.current();
   }
 
-  /** A source version came into force. */
+  /** Clears the current rejection if the adopted source version supersedes it. */
   adopted(number: number): void {
     this.log.adopted(number);
   }
 
-  /** Takes note of a rejection found here or heard from a neighbour, and passes on a new one. */
+  /** Records a rejection from neighbour `from`, or from this node, and floods it if it is new. */
   learn(
     version: DocumentVersion,
     reason: string,
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Tells a new neighbour of the current rejection. */
+  /** Sends the current rejection, if any, to a new neighbour. */
   sendCurrent(peerId: string, effects: ControlEffect[]): void {
     const rejection = this.log.current();
     if (rejection !== undefined) {
--- a/src/dissemination/rejection-log.ts
+++ b/src/dissemination/rejection-log.ts
@@ -1,35 +1,35 @@
-/** Source versions that were refused, so that each node's API can tell why. */
+/** Refused source versions, so that the API of each node can report the reason. */
 import { EMPTY_DIGEST, compareVersions, type DocumentVersion } from '../model/version.js';
 import { BoundedMap } from './bounded-map.js';
 import { versionKey } from '../wire/versions-digest.js';
 
-/** Longest reason kept and passed on, in characters. */
+/** Maximum length of a reason, in characters; longer reasons are truncated. */
 export const MAX_REASON_LENGTH = 1_024;
-/** Rejections remembered as already passed on. */
+/** Maximum number of remembered rejections that were already propagated. */
 const MAX_SEEN_REJECTIONS = 64;
 
-/** A refused source version; number 0 when the number could not be read. */
+/** A refused source version; its number is 0 if the number could not be read. */
 export interface SourceRejection {
   readonly version: DocumentVersion;
   readonly reason: string;
 }
 
-/** The version of an unreadable or malformed document, of which no digest is known. */
+/** Version of an unreadable or malformed document, whose digest is unknown. */
 export function unreadableVersion(number: number): DocumentVersion {
   return { number, digest: EMPTY_DIGEST };
 }
 
-/** Remembers which rejections are known and which one is current. */
+/** Records known rejections and the current one. */
 export class RejectionLog {
   private readonly seen = new BoundedMap<string, true>(MAX_SEEN_REJECTIONS);
   private newest: SourceRejection | undefined;
 
-  /** The newest rejection that no adopted source version has overtaken. */
+  /** The newest rejection that no adopted source version supersedes. */
   current(): SourceRejection | undefined {
     return this.newest;
   }
 
-  /** Takes note of a rejection. Returns it when it is new here and worth passing on. */
+  /** Records a rejection; returns it if it is new and must be propagated. */
   learn(version: DocumentVersion, reason: string, heldNumber: number): SourceRejection | undefined {
     if (version.number !== 0 && version.number <= heldNumber) {
       return undefined;
@@ -46,7 +46,7 @@
     return rejection;
   }
 
-  /** A source version came into force: what it overtakes is no longer current. */
+  /** Clears the current rejection if the adopted source version supersedes it. */
   adopted(number: number): void {
     if (this.newest !== undefined && this.newest.version.number <= number) {
       this.newest = undefined;
--- a/src/dissemination/snapshot-server.ts
+++ b/src/dissemination/snapshot-server.ts
@@ -1,6 +1,7 @@
 /**
- * Answers fetches: by a delta where history allows and it is smaller, else by the whole document in
- * paced chunks. Only a few transfers run at once; further fetches are refused for a while.
+ * Answers fetches: with a delta if the history allows it and it is smaller, else with the full
+ * document in paced chunks. The number of concurrent transfers is limited; further fetches are
+ * refused with a retry delay.
  */
 import type { ControlEffect, CounterSink, RandomSource } from '../control/control-event.js';
 import { CONTROL_COUNTERS } from '../control/control-counters.js';
@@ -10,11 +11,11 @@
 import { MAX_CHUNK_BYTES } from './document-parts.js';
 import type { DocumentStore } from './document-store.js';
 
-/** Snapshot transfers served at once. */
+/** Maximum number of concurrent snapshot transfers. */
 export const MAX_CONCURRENT_TRANSFERS = 4;
-/** Time between two chunks of one transfer, in milliseconds. */
+/** Interval between two chunks of one transfer, in milliseconds. */
 export const CHUNK_INTERVAL_MS = 20;
-/** Bounds of the time after which a refused peer may ask again, in milliseconds. */
+/** Bounds of the random delay after which a refused peer may retry, in milliseconds. */
 const MIN_RETRY_AFTER_MS = 50;
 const MAX_RETRY_AFTER_MS = 250;
 
@@ -27,7 +28,7 @@
   nextChunkAt: number;
 }
 
-/** The serving side of all documents. */
+/** Serves fetches of all documents. */
 export class SnapshotServer {
   private transfers: Transfer[] = [];
 
@@ -38,7 +39,7 @@
     private readonly maxTransfers = MAX_CONCURRENT_TRANSFERS,
   ) {}
 
-  /** Transfers that run now. */
+  /** Number of running transfers. */
   get activeTransfers(): number {
     return this.transfers.length;
   }
@@ -52,7 +53,6 @@
     return earliest;
   }
 
-  /** Answers a fetch. */
   serve(from: string, message: FetchMessage, nowMs: number, effects: ControlEffect[]): void {
     const held = this.store.held(message.document);
     if (!isNewer(held.version, message.have)) {
@@ -117,7 +117,7 @@
   }
 }
 
-/** Sends the next chunk; past the last one it only marks the transfer as over. */
+/** Sends the next chunk; after the last one, only marks the transfer as finished. */
 function sendChunk(transfer: Transfer, nowMs: number, effects: ControlEffect[]): void {
   const entries = transfer.chunks[transfer.nextIndex];
   if (entries !== undefined) {
--- a/src/dissemination/version-announcer.ts
+++ b/src/dissemination/version-announcer.ts
@@ -1,6 +1,6 @@
 /**
- * Tells overlay neighbours what is held here: a small delta to a neighbour known to hold an older
- * version of the same history, otherwise an announcement of all versions.
+ * Notifies overlay neighbours of held versions: pushes a small delta to a neighbour that is known
+ * to hold an older version of the same history, otherwise announces all versions.
  */
 import type { ControlEffect, CounterSink } from '../control/control-event.js';
 import { CONTROL_COUNTERS } from '../control/control-counters.js';
@@ -16,15 +16,15 @@
 import type { DocumentStore } from './document-store.js';
 import { newNeighbour, type Neighbour } from './neighbour.js';
 
-/** Heartbeats in a row with another digest before the versions are announced. */
+/** Consecutive heartbeats with a different digest after which the versions are announced. */
 const DIFFERING_HEARTBEATS_BEFORE_ANNOUNCEMENT = 2;
 
-/** The neighbours and what each is known to hold. */
+/** Tracks the versions of each neighbour and announces this node's versions. */
 export class VersionAnnouncer {
   readonly neighbours = new Map<string, Neighbour>();
   private heartbeat: HeartbeatMessage;
 
-  /** `announcementIntervalMs`: least time between two announcements without a change. */
+  /** `announcementIntervalMs`: minimum interval between announcements without a change. */
   constructor(
     private readonly self: PeerIdentity,
     private readonly store: DocumentStore,
@@ -42,14 +42,14 @@
     return this.heartbeat;
   }
 
-  /** A neighbour was confirmed: it is told what is held here. */
+  /** Adds a confirmed neighbour and announces the held versions to it. */
   add(peer: PeerIdentity, nowMs: number, effects: ControlEffect[]): void {
     const neighbour = newNeighbour(this.self, peer);
     this.neighbours.set(peer.id, neighbour);
     this.announce(neighbour, nowMs, effects);
   }
 
-  /** Compares digests; a difference that lasts is answered by an announcement. */
+  /** Compares digests; announces the held versions if a difference persists. */
   handleHeartbeat(
     from: string,
     message: HeartbeatMessage,
@@ -72,7 +72,7 @@
     }
   }
 
-  /** A neighbour said what it holds: it is helped along where it is behind. */
+  /** Records the versions of a neighbour, and pushes or announces newer ones to it. */
   handleVersions(
     neighbour: Neighbour,
     versions: HeldVersions,
@@ -91,7 +91,7 @@
     }
   }
 
-  /** Tells every neighbour of a version that was just adopted, unless it is known to hold it. */
+  /** Pushes or announces a newly adopted version to every neighbour not known to hold it. */
   propagate(name: DocumentName, nowMs: number, effects: ControlEffect[]): void {
     const held = this.store.held(name).version;
     for (const neighbour of this.neighbours.values()) {
@@ -103,7 +103,7 @@
     }
   }
 
-  /** A neighbour sent a version, so it holds it. */
+  /** Records that a neighbour holds a version, because it sent it. */
   recordKnownVersion(from: string, name: DocumentName, version: DocumentVersion): void {
     const neighbour = this.neighbours.get(from);
     const knownVersions = neighbour?.knownVersions;
--- a/src/membership/dial-candidates.ts
+++ b/src/membership/dial-candidates.ts
@@ -1,30 +1,35 @@
-/** Picks whom to dial: by place from the machine list, else from members met and from seeds. */
+/**
+ * Selects peers to dial: by zone and region from the machine list, else from known members and
+ * seeds.
+ */
 import type { RandomSource } from '../control/control-event.js';
 import type { MachineIndex } from './machine-index.js';
 import type { MemberTable } from './member-table.js';
 import type { PeerAddress, PeerIdentity } from './peer-identity.js';
 
-/** What a link is for: own zone, another zone of the region, another region, or any first contact. */
+/**
+ * Target of a link: the own zone, another zone of the region, another region, or any first contact.
+ */
 export const LINK_SCOPES = ['zone', 'region', 'remote', 'contact'] as const;
 export type LinkScope = (typeof LINK_SCOPES)[number];
 
-/** Candidates looked at in one pick, so that a pick costs the same in any fleet. */
+/** Candidates examined per pick, so that the cost of a pick does not depend on the fleet size. */
 const MAX_CANDIDATES_PER_PICK = 16;
 
-/** Share of first contacts sought among members met rather than seeds, once any was met. */
+/** Probability that a first contact is chosen from known members before seeds, if any are known. */
 const KNOWN_MEMBER_SHARE = 0.75;
 
-/** Text form of an address, for keys of maps. */
+/** Address and port as a map key. */
 export function addressKey(target: PeerAddress): string {
   return `${target.address}:${target.controlPort}`;
 }
 
-/** Someone to dial. `id` is absent for seeds. */
+/** A peer to dial. `id` is absent for seeds. */
 export interface DialCandidate extends PeerAddress {
   readonly id?: string;
 }
 
-/** Candidates by place. */
+/** Candidates for each link scope. */
 export class DialCandidates {
   constructor(
     private readonly self: PeerIdentity,
@@ -34,8 +39,8 @@
   ) {}
 
   /**
-   * A random candidate for which `isFree` holds. Members held dead are taken only when no other was
-   * met: that is how the two sides of a healed partition find each other again.
+   * Returns a random candidate for which `isAvailable` holds. Suspected and dead members are chosen
+   * only if no other candidate was found: this lets the two sides of a healed partition reconnect.
    */
   pick(
     scope: LinkScope,
@@ -74,7 +79,7 @@
     return fallback;
   }
 
-  /** Candidates for a place; the next list is looked at when the one before has none. */
+  /** Candidate lists for a scope, in order of preference. */
   private candidateLists(
     scope: LinkScope,
     machines: MachineIndex,
@@ -92,7 +97,7 @@
     }
   }
 
-  /** Members met first, mostly, since seeds are what every newcomer dials. */
+  /** Usually prefers known members over seeds, because every new node dials the seeds. */
   private contacts(): readonly (readonly DialCandidate[])[] {
     const knownMembers = [...this.members.all()].map((record) => record.identity);
     const prefersKnownMembers = this.random() < KNOWN_MEMBER_SHARE;
--- a/src/membership/dial-schedule.ts
+++ b/src/membership/dial-schedule.ts
@@ -1,31 +1,33 @@
 /** Jittered exponential back-off between dials. */
 import type { RandomSource } from '../control/control-event.js';
 
-/** Wait after a first failure, in milliseconds, before jitter. */
+/** Base of the exponential back-off, in milliseconds, before jitter. */
 export const BASE_DIAL_BACKOFF_MS = 200;
-/** Longest wait, in milliseconds, before jitter: the rate at which a healed partition is noticed. */
+/**
+ * Maximum back-off in milliseconds, before jitter; bounds the time to detect a healed partition.
+ */
 export const MAX_DIAL_BACKOFF_MS = 10_000;
 
-/** Longest wait before a dial to someone who was just named, in milliseconds. */
+/** Maximum delay before dialling after a peer suggested alternatives, in milliseconds. */
 const MAX_EXPEDITED_DELAY_MS = 200;
-/** Failures in a row up to which a hint shortens the wait. */
+/** Consecutive failures after which suggested peers no longer shorten the back-off. */
 const MAX_EXPEDITED_FAILURES = 20;
 
-/** When the next dial is due, after successes and failures. */
+/** Schedules the next dial from the outcomes of earlier ones. */
 export class DialSchedule {
-  /** Failures in a row. */
+  /** Number of consecutive failures. */
   failures = 0;
   /** Earliest time of the next dial, in milliseconds. */
   nextDialAt = 0;
 
   constructor(private readonly random: RandomSource) {}
 
-  /** A dial led to a neighbour. */
+  /** Resets the failure count after a dialled peer became a neighbour. */
   succeeded(): void {
     this.failures = 0;
   }
 
-  /** A dial failed, or there was nobody to dial. Dials made together count as one failure. */
+  /** Records a failed dial or a lack of candidates. Concurrent dials count as one failure. */
   failed(nowMs: number): void {
     if (nowMs < this.nextDialAt) {
       return;
@@ -35,7 +37,7 @@
     this.nextDialAt = nowMs + backoff * (0.5 + this.random() * 0.5);
   }
 
-  /** The dial was refused, but others were named: no need to wait for the whole back-off. */
+  /** Shortens the back-off when a peer refused the link but suggested other peers. */
   expedite(nowMs: number): void {
     if (this.failures >= MAX_EXPEDITED_FAILURES) {
       return;
--- a/src/membership/link-probes.ts
+++ b/src/membership/link-probes.ts
@@ -1,4 +1,4 @@
-/** Dials to neighbours whose link closed, to tell a closed link from a dead peer. */
+/** Probe dials to neighbours whose link closed, to distinguish a closed link from a dead peer. */
 import { addressKey } from './dial-candidates.js';
 import type { PeerAddress, PeerIdentity } from './peer-identity.js';
 
@@ -10,27 +10,26 @@
   expiresAt: number;
 }
 
-/** Probes under way, by machine. */
+/** Probes in progress, by machine. */
 export class LinkProbes {
   private readonly probes = new Map<string, Probe>();
 
-  /** Whether the machine is being probed. */
   has(peerId: string): boolean {
     return this.probes.has(peerId);
   }
 
-  /** A dial to the peer was asked for. */
+  /** Starts or restarts the timeout of a probe whose dial was requested. */
   begin(peer: PeerIdentity, nowMs: number): void {
     this.probes.delete(peer.id);
     this.probes.set(peer.id, { peer, expiresAt: nowMs + PROBE_TIMEOUT_MS });
   }
 
-  /** A link to the peer opened; returns whether it was being probed. */
+  /** Ends the probe of a peer to which a link opened; returns whether there was one. */
   succeeded(peer: PeerIdentity): boolean {
     return this.probes.delete(peer.id);
   }
 
-  /** A dial failed; returns the peer that was probed by it. */
+  /** Ends the probe that used a failed dial; returns its peer, if any. */
   failed(target: PeerAddress): PeerIdentity | undefined {
     const key = addressKey(target);
     for (const { peer } of this.probes.values()) {
@@ -42,7 +41,7 @@
     return undefined;
   }
 
-  /** Time at which the oldest probe expires, in milliseconds. */
+  /** Expiry time of the oldest probe, in milliseconds. */
   nextExpiryAt(): number {
     for (const { expiresAt } of this.probes.values()) {
       return expiresAt;
@@ -50,7 +49,7 @@
     return Infinity;
   }
 
-  /** Removes and returns the peers whose probe went unanswered. */
+  /** Removes the probes that timed out and returns their peers. */
   takeExpired(nowMs: number): PeerIdentity[] {
     const expired = [...this.probes.values()].filter((probe) => probe.expiresAt <= nowMs);
     for (const { peer } of expired) {
@@ -59,7 +58,7 @@
     return expired.map((probe) => probe.peer);
   }
 
-  /** The node was paused: probes get their whole time again. */
+  /** Restarts the timeout of every probe after a pause of this process. */
   restartTimeouts(nowMs: number): void {
     for (const probe of this.probes.values()) {
       probe.expiresAt = nowMs + PROBE_TIMEOUT_MS;
--- a/src/membership/link-quotas.ts
+++ b/src/membership/link-quotas.ts
@@ -1,20 +1,20 @@
-/** How many overlay links a node wants in each place, and which are missing or too many. */
+/** Number of overlay links that a node needs in each scope, and which are missing or in excess. */
 import { LINK_SCOPES, type LinkScope } from './dial-candidates.js';
 import type { MachineIndex } from './machine-index.js';
 import type { PeerIdentity } from './peer-identity.js';
 import type { PeerLink } from './peer-link.js';
 
-/** Numbers of links by place. */
+/** Number of links by scope. */
 export type LinkCounts = Record<LinkScope, number>;
 
-/** No links at all. */
 export function noLinks(): LinkCounts {
   return { zone: 0, region: 0, remote: 0, contact: 0 };
 }
 
 /**
- * The links to dial: about half in the own zone, at least one in another zone of the region and one in
- * another region where there are such; any contact while no other machine is known.
+ * Computes the number of links to dial per scope: about half in the own zone, and at least one each
+ * in another zone of the region and in another region if these exist; all to any contact while no
+ * other machine is known.
  */
 export function quotasFor(
   self: PeerIdentity,
@@ -37,7 +37,7 @@
   return quotas;
 }
 
-/** Links wanted less those dialled; `pending` counts dials under way. Negative where too many. */
+/** Desired links minus outbound links and pending dials, per scope; negative for an excess. */
 export function missingLinks(
   desired: LinkCounts,
   links: Iterable<PeerLink>,
@@ -58,7 +58,7 @@
   return missing;
 }
 
-/** Adds what the failing places lack to the first place that does not fail. */
+/** Adds the missing links of failing scopes to the first desired scope that does not fail. */
 export function withFallback(
   missing: LinkCounts,
   desired: LinkCounts,
@@ -72,7 +72,10 @@
     : { ...missing, [fallback]: missing[fallback] + unfilled };
 }
 
-/** A confirmed outbound link beyond the number wanted in all; undefined when there is none. */
+/**
+ * Returns a confirmed outbound link of a scope that exceeds its quota; undefined while the total
+ * does not exceed `neighbours`.
+ */
 export function surplusLink(
   desired: LinkCounts,
   neighbours: number,
--- a/src/membership/machine-index.ts
+++ b/src/membership/machine-index.ts
@@ -1,4 +1,4 @@
-/** The machines document, parsed and indexed by place. Immutable; shared by all who hold it. */
+/** The parsed machines document, indexed by id, zone and region. Immutable, so it can be shared. */
 import { fleetGroupOf } from '../control/fleet-group.js';
 import { MAX_OLDEST_MACHINES } from '../control/control-ports.js';
 import { canonicalJson } from '../model/canonical-json.js';
@@ -14,20 +14,19 @@
   return `machine/${machineId}`;
 }
 
-/** Entries of a machines document: keys to canonical JSON text. */
+/** Entries of a machines document: key to canonical JSON text. */
 export function machineValues(machines: readonly Machine[]): Map<string, string> {
   return new Map(machines.map((machine) => [machineKey(machine.id), canonicalJson(machine)]));
 }
 
-/** Machines by identity, zone and region. */
+/** Index of the machines in a machines document. */
 export class MachineIndex {
-  /** Index of an empty list. */
   static readonly EMPTY = new MachineIndex([]);
 
   readonly byId: ReadonlyMap<string, Machine>;
-  /** All machines, lowest seniority number first. */
+  /** All machines, in ascending order of seniority number. */
   private readonly bySeniority: readonly Machine[];
-  /** Oldest machines of each group, by the number of groups. */
+  /** Oldest machines of each group, keyed by the number of groups. */
   private readonly oldestByGroups = new Map<number, readonly (readonly Machine[])[]>();
   private readonly zones = new Map<string, Machine[]>();
   private readonly zoneNamesByRegion = new Map<string, string[]>();
@@ -46,7 +45,9 @@
     }
   }
 
-  /** Parses a machines document; throws {@link InvalidConfigurationError} that lists every fault. */
+  /**
+   * Parses a machines document; throws an {@link InvalidConfigurationError} that lists every fault.
+   */
   static parse(document: VersionedDocument): MachineIndex {
     const faults: ConfigurationFault[] = [];
     const machines: Machine[] = [];
@@ -62,17 +63,17 @@
     return new MachineIndex(machines);
   }
 
-  /** Machines of a zone, lowest seniority number first. */
+  /** Machines of a zone, in ascending order of seniority number. */
   inZone(zone: string): readonly Machine[] {
     return this.zones.get(zone) ?? [];
   }
 
-  /** Machines of a region, lowest seniority number first. */
+  /** Machines of a region, in ascending order of seniority number. */
   inRegion(region: string): readonly Machine[] {
     return this.regions.get(region) ?? [];
   }
 
-  /** The oldest machines of a group, lowest seniority number first. */
+  /** The oldest machines of a group, in ascending order of seniority number. */
   oldestOf(group: number, groups: number): readonly Machine[] {
     let oldest = this.oldestByGroups.get(groups);
     if (oldest === undefined) {
@@ -93,12 +94,10 @@
     return oldest;
   }
 
-  /** Names of a region's zones. */
   zonesOf(region: string): readonly string[] {
     return this.zoneNamesByRegion.get(region) ?? [];
   }
 
-  /** Names of all regions. */
   regionNames(): string[] {
     return [...this.regions.keys()];
   }
@@ -117,7 +116,7 @@
     return undefined;
   }
   if (machineKey(parsed.data.id) !== key) {
-    faults.push({ path: key, reason: 'key and machine differ' });
+    faults.push({ path: key, reason: 'key does not match the machine id' });
     return undefined;
   }
   return parsed.data;
--- a/src/membership/member-flood.ts
+++ b/src/membership/member-flood.ts
@@ -1,30 +1,31 @@
 /**
  * Batches claims about members and floods them over the overlay. A claim is sent once on each link
- * on which it was not heard. Departures go out at once; the rest waits a little, so that batches grow
- * and much of it is heard from the neighbours before it would be sent to them.
+ * on which it was not received. Departures are sent after a short delay. Other claims are delayed
+ * longer, so that batches grow and many claims arrive from neighbours before they would be sent to
+ * them.
  */
 import type { ControlEffect, CounterSink, RandomSource } from '../control/control-event.js';
 import { CONTROL_COUNTERS } from '../control/control-counters.js';
 import type { MemberUpdate } from '../wire/message.js';
 
-/** Claims sent in one batch at most. */
+/** Maximum number of claims in one batch. */
 export const MAX_UPDATES_PER_BATCH = 64;
-/** Longest wait of a departure before it is sent, in milliseconds. */
+/** Maximum delay before a departure is sent, in milliseconds. */
 export const MAX_URGENT_DELAY_MS = 80;
-/** Longest wait of other claims, in milliseconds; less than suspects have to refute by far. */
+/** Maximum delay of other claims, in milliseconds; far shorter than the refutation timeout. */
 export const MAX_BATCH_DELAY_MS = 800;
-/** Shortest wait, as a share of the longest. */
+/** Minimum delay, as a share of the maximum. */
 const MIN_DELAY_SHARE = 0.25;
 
 interface PendingUpdate {
   readonly update: MemberUpdate;
-  /** Neighbours from which the claim was heard; they need not be told. */
+  /** Neighbours from which the claim was received; it is not sent to them. */
   readonly receivedFrom: string[];
 }
 
-/** Claims that wait to be flooded. */
+/** Queues claims and floods them in batches. */
 export class MemberFlood {
-  /** In the order in which they are sent. */
+  /** Queues in sending order. */
   private readonly queues: Record<'leaving' | 'alive' | 'accused', Map<string, PendingUpdate>> = {
     leaving: new Map(),
     alive: new Map(),
@@ -42,7 +43,9 @@
     return this.flushAt;
   }
 
-  /** Queues a claim that was learned from `from`, or found out here; it replaces an older one. */
+  /**
+   * Queues a claim received from `from`, or made by this node; replaces the queued claim, if any.
+   */
   queue(update: MemberUpdate, from: string | undefined, nowMs: number): void {
     const memberId = update.member.id;
     for (const queue of Object.values(this.queues)) {
@@ -54,7 +57,7 @@
     this.flushAt = Math.min(this.flushAt, nowMs + this.delay(maxDelayMs));
   }
 
-  /** The same claim came from another neighbour before it was passed on. */
+  /** Records that a neighbour sent a claim that is still queued, so that it is not sent back. */
   duplicateReceived(update: MemberUpdate, from: string): void {
     const pending = this.queues[queueName(update)].get(update.member.id);
     const held = pending?.update;
@@ -65,7 +68,6 @@
     }
   }
 
-  /** Sends one batch to the neighbours. */
   flush(neighbours: Iterable<string>, nowMs: number, effects: ControlEffect[]): void {
     const batch = this.takeBatch();
     const hasMore = Object.values(this.queues).some((queue) => queue.size > 0);
--- a/src/membership/member-table.ts
+++ b/src/membership/member-table.ts
@@ -1,6 +1,6 @@
 /**
- * What is known of members beyond the machine list: claims that differ from "listed and alive".
- * A listed machine without a record counts as alive, so the table stays small in a healthy fleet.
+ * Claims about members that differ from "listed and alive". A listed machine without a record
+ * counts as alive, so the table stays small in a healthy fleet.
  */
 import type { RandomSource } from '../control/control-event.js';
 import type { Machine } from '../model/machine.js';
@@ -8,26 +8,26 @@
 import type { MachineIndex } from './machine-index.js';
 import type { PeerIdentity } from './peer-identity.js';
 
-/** Records kept at most. */
+/** Maximum number of records. */
 export const MAX_MEMBER_RECORDS = 4_096;
-/** Members kept at most that are alive and on no list. */
+/** Maximum number of alive members that are not in the machine list. */
 export const MAX_UNLISTED_MEMBERS = 256;
-/** How long a settled record is kept, in milliseconds. */
+/** Retention time of a settled record, in milliseconds. */
 export const MEMBER_RETENTION_MS = 900_000;
-/** How often settled records are looked for, in milliseconds. */
+/** Interval between sweeps for settled records, in milliseconds. */
 export const MEMBER_SWEEP_INTERVAL_MS = 60_000;
 
 const STATUS_RANK: Record<MemberStatus, number> = { alive: 0, suspect: 1, leaving: 2, dead: 3 };
 
-/** One claim that is held. */
+/** The recorded claim about one member. */
 export interface MemberRecord {
   readonly identity: PeerIdentity;
   readonly status: MemberStatus;
-  /** When this claim was learned, in milliseconds. */
+  /** Time at which the claim was recorded, in milliseconds. */
   readonly sinceMs: number;
 }
 
-/** Whether the claim in `update` outranks `held`: higher incarnation, then stronger status. */
+/** Whether `update` takes precedence over `held`: higher incarnation, then higher status rank. */
 export function outranks(update: MemberUpdate, held: MemberUpdate): boolean {
   const newer = update.member.incarnation - held.member.incarnation;
   if (newer !== 0) {
@@ -36,15 +36,15 @@
   return STATUS_RANK[update.status] > STATUS_RANK[held.status];
 }
 
-/** The claims about other members. */
+/** Table of the claims about other members. */
 export class MemberTable {
   private readonly records = new Map<string, MemberRecord>();
-  /** Suspects and when each is held dead; in order of that time. */
+  /** Time at which each suspect is declared dead, in ascending order. */
   private readonly suspects = new Map<string, number>();
   private unlistedAlive = 0;
   private machines: MachineIndex;
 
-  /** `deadAfterMs`: how long a suspect has to refute. */
+  /** `deadAfterMs`: time that a suspect has to refute the suspicion. */
   constructor(
     machines: MachineIndex,
     private readonly deadAfterMs: number,
@@ -52,12 +52,11 @@
     this.machines = machines;
   }
 
-  /** Records held now. */
   get size(): number {
     return this.records.size;
   }
 
-  /** A newer machine list came into force. */
+  /** Replaces the machine list. */
   setMachines(machines: MachineIndex): void {
     this.machines = machines;
     this.unlistedAlive = 0;
@@ -66,20 +65,18 @@
     }
   }
 
-  /** The claim held about a member. */
   record(memberId: string): MemberRecord | undefined {
     return this.records.get(memberId);
   }
 
-  /** All claims held. */
   all(): IterableIterator<MemberRecord> {
     return this.records.values();
   }
 
   /**
-   * Takes a claim. Returns the claim that is now held and worth passing on, or undefined when nothing
-   * changed. A claim of death about a member that was held alive starts as suspicion, so that the
-   * accused always has time to refute.
+   * Applies a claim. Returns the recorded claim, to be propagated, or undefined if nothing changed.
+   * A claim that an alive member is dead is recorded as a suspicion, so that the accused member
+   * always has time to refute it.
    */
   apply(update: MemberUpdate, nowMs: number): MemberUpdate | undefined {
     const { member } = update;
@@ -100,7 +97,7 @@
     return { member, status };
   }
 
-  /** The status of a member; undefined when it is neither listed nor known. */
+  /** Status of a member; undefined if it is neither listed nor recorded. */
   status(memberId: string): MemberStatus | undefined {
     const machine = this.machines.byId.get(memberId);
     const record = this.records.get(memberId);
@@ -110,7 +107,7 @@
     return record?.status ?? (machine === undefined ? undefined : 'alive');
   }
 
-  /** Time at which {@link expire} has something to do, in milliseconds. */
+  /** Time of the next expiry of a suspicion, in milliseconds; see {@link expire}. */
   nextExpiryAt(): number {
     for (const expiresAt of this.suspects.values()) {
       return expiresAt;
@@ -118,7 +115,7 @@
     return Infinity;
   }
 
-  /** Holds dead the suspects that did not refute in time; returns them. */
+  /** Declares dead the suspects that did not refute in time; returns them. */
   expire(nowMs: number): PeerIdentity[] {
     const dead: PeerIdentity[] = [];
     for (const [memberId, expiresAt] of this.suspects) {
@@ -135,14 +132,14 @@
     return dead;
   }
 
-  /** The node was paused: every suspect gets its whole time to refute again. */
+  /** Restarts the refutation timeout of every suspect after a pause of this process. */
   restartTimeouts(nowMs: number): void {
     for (const memberId of this.suspects.keys()) {
       this.suspects.set(memberId, nowMs + this.deadAfterMs);
     }
   }
 
-  /** A random member that is held dead; undefined when there is none. */
+  /** A random dead member, chosen uniformly; undefined if there is none. */
   randomDead(random: RandomSource): PeerIdentity | undefined {
     let chosen: PeerIdentity | undefined;
     let deadCount = 0;
@@ -155,7 +152,7 @@
     return chosen;
   }
 
-  /** Forgets settled records: on the list or not, no longer needed after the retention time. */
+  /** Removes settled records, listed or not, after the retention time. */
   sweep(nowMs: number): void {
     for (const [memberId, record] of this.records) {
       if (nowMs - record.sinceMs >= MEMBER_RETENTION_MS && this.isSettled(record)) {
@@ -164,14 +161,14 @@
     }
   }
 
-  /** A machine's identity as a peer: from its record, else from the list. */
+  /** Peer identity of a machine: from its record, else from the machine list. */
   identityOf(memberId: string): PeerIdentity | undefined {
     const record = this.records.get(memberId);
     const machine = this.machines.byId.get(memberId);
     return record?.identity ?? (machine === undefined ? undefined : identityOfMachine(machine));
   }
 
-  /** The precedence rule between a new claim and the held one. */
+  /** Precedence rule between a new claim and the recorded one. */
   protected mayReplace(update: MemberUpdate, held: MemberRecord): boolean {
     return outranks(update, { member: held.identity, status: held.status });
   }
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -1,6 +1,6 @@
 /**
- * Who is there: suspicion of silent or lost neighbours, refutation, and the flood of claims about
- * members over the overlay's links.
+ * Failure detection and membership: suspicion of unresponsive or disconnected neighbours,
+ * refutation, and flooding of claims about members over the overlay links.
  */
 import type { ControlEffect, CounterSink } from '../control/control-event.js';
 import { CONTROL_COUNTERS } from '../control/control-counters.js';
@@ -17,18 +17,18 @@
 import type { PeerAddress, PeerIdentity } from './peer-identity.js';
 import { SelfClaim } from './self-claim.js';
 
-/** Claims about leaving members told to a new neighbour at most. */
+/** Maximum number of claims about leaving members that are sent to a new neighbour. */
 const MAX_SYNCED_UPDATES = 32;
-/** Mean time between two dials to members held dead, in milliseconds. */
+/** Mean interval between dials to dead members, in milliseconds. */
 export const RECHECK_INTERVAL_MS = 10_000;
 
-/** What membership needs; times in milliseconds. */
+/** Options of the membership; times in milliseconds. */
 export interface MembershipOptions extends NeighbourLinkOptions {
-  /** Time a suspect has to refute. */
+  /** Time that a suspect has to refute the suspicion. */
   readonly deadAfterMs: number;
 }
 
-/** The membership of one node. */
+/** Membership state of one node. */
 export class Membership {
   readonly members: MemberTable;
   readonly links: NeighbourLinks;
@@ -51,7 +51,7 @@
     this.counters = options.counters;
   }
 
-  /** Time of the next `wake` that is needed, in milliseconds. */
+  /** Time at which {@link wake} must be called next, in milliseconds. */
   nextWakeAt(): number {
     return Math.min(
       this.sweepAt,
@@ -63,7 +63,7 @@
     );
   }
 
-  /** Status of a machine; undefined when nothing is known of it. */
+  /** Status of a machine; undefined if the machine is unknown. */
   status(machineId: string): MemberStatus | undefined {
     if (machineId === this.options.self.id) {
       return this.self.status;
@@ -72,14 +72,13 @@
     return status === 'alive' && this.probes.has(machineId) ? 'suspect' : status;
   }
 
-  /** The process started. */
   start(nowMs: number): void {
     this.sweepAt = nowMs + MEMBER_SWEEP_INTERVAL_MS * (0.5 + this.options.random());
     this.scheduleRecheck(nowMs);
     this.links.start(nowMs);
   }
 
-  /** A planned stop: the fleet is told at once. */
+  /** Starts a planned stop: announces the departure to the neighbours immediately. */
   stop(nowMs: number, effects: ControlEffect[]): void {
     this.links.stop();
     this.recheckAt = Infinity;
@@ -87,13 +86,15 @@
     this.flood.flush(this.links.neighbourIds(), nowMs, effects);
   }
 
-  /** A newer machine list came into force. */
   setMachines(machines: MachineIndex, nowMs: number): void {
     this.members.setMachines(machines);
     this.links.setMachines(machines, nowMs);
   }
 
-  /** The node was paused: heartbeats go out first, and nobody is blamed for the pause. */
+  /**
+   * Restarts all timeouts after a pause of this process, so that no peer is suspected because of
+   * it. The next wake sends heartbeats first.
+   */
   restartTimeouts(nowMs: number): void {
     this.counters.add(CONTROL_COUNTERS.lateWakes);
     this.members.restartTimeouts(nowMs);
@@ -101,7 +102,7 @@
     this.links.restartTimeouts(nowMs);
   }
 
-  /** Acts on what is due. */
+  /** Handles all timers that are due. */
   wake(nowMs: number, effects: ControlEffect[]): void {
     for (const peer of this.links.wake(nowMs, effects)) {
       this.suspect(peer, nowMs);
@@ -128,7 +129,7 @@
     }
   }
 
-  /** A link opened. */
+  /** Handles an opened link. */
   peerUp(peer: PeerIdentity, nowMs: number, effects: ControlEffect[]): void {
     if (peer.id !== this.options.self.id) {
       this.recordLinkOpened(peer, nowMs, effects);
@@ -137,8 +138,9 @@
   }
 
   /**
-   * The last link to a peer closed. A lost neighbour is suspect here until a probe tells whether the
-   * peer is gone or only closed the link; the fleet is told when the probe fails.
+   * Handles the close of the last link to a peer. A disconnected neighbour is suspect on this node
+   * until a probe shows whether the peer failed or only closed the link. The suspicion is flooded
+   * only if the probe fails.
    */
   peerDown(peer: PeerIdentity, nowMs: number, effects: ControlEffect[]): void {
     const wasNeighbour = this.links.lost(peer.id, nowMs, effects);
@@ -150,7 +152,7 @@
     }
   }
 
-  /** A dial failed. */
+  /** Handles a failed dial. */
   dialFailed(target: PeerAddress, nowMs: number): void {
     this.links.dialFailed(target, nowMs);
     const peer = this.probes.failed(target);
@@ -159,7 +161,9 @@
     }
   }
 
-  /** A heartbeat arrived; a new neighbour is told who is leaving: those must get no new work. */
+  /**
+   * Handles a heartbeat. A new neighbour is sent the leaving members, which must get no new work.
+   */
   handleHeartbeat(
     peerId: string,
     message: HeartbeatMessage,
@@ -171,7 +175,7 @@
     }
   }
 
-  /** Claims about members arrived. */
+  /** Handles claims about members. */
   handleMembers(
     from: string,
     updates: readonly MemberUpdate[],
@@ -206,7 +210,10 @@
     }
   }
 
-  /** A link proves that the peer lives: a newer incarnation is news, an accused one is told. */
+  /**
+   * Records an opened link, which proves that the peer is alive: floods a newer incarnation and
+   * sends the peer the recorded claim about it, if it is not alive, so that the peer can refute it.
+   */
   private recordLinkOpened(peer: PeerIdentity, nowMs: number, effects: ControlEffect[]): void {
     const change = this.members.apply({ member: peer, status: 'alive' }, nowMs);
     const held = this.members.record(peer.id);
@@ -228,7 +235,7 @@
     }
   }
 
-  /** Refutes to the one who told of the claim, who may be no neighbour, and to the fleet. */
+  /** Sends a refutation to the sender of the claim, which may not be a neighbour, and floods it. */
   private refuteClaim(
     from: string,
     update: MemberUpdate,
@@ -245,8 +252,9 @@
   }
 
   /**
-   * Dials one member held dead. If it lives, as after a healed partition, the link lets it refute;
-   * so every wrong claim ends, also about members with which no holder of the claim has a link.
+   * Dials one dead member. If it is alive, as after a healed partition, the link lets it refute the
+   * claim. This clears every wrong claim, even about members to which no node with the claim has a
+   * link.
    */
   private recheck(nowMs: number, effects: ControlEffect[]): void {
     this.scheduleRecheck(nowMs);
--- a/src/membership/neighbour-links.ts
+++ b/src/membership/neighbour-links.ts
@@ -1,6 +1,6 @@
 /**
- * The life of links: opened, confirmed as overlay links by a first heartbeat, kept by heartbeats,
- * closed when silent or idle.
+ * Life cycle of links: they are opened, confirmed as overlay links by the first heartbeat, kept
+ * alive by heartbeats, and closed when unresponsive or idle.
  */
 import type { ControlEffect, CounterSink } from '../control/control-event.js';
 import { CONTROL_COUNTERS } from '../control/control-counters.js';
@@ -12,25 +12,24 @@
 import type { PeerAddress, PeerIdentity } from './peer-identity.js';
 import type { PeerLink } from './peer-link.js';
 
-/** Idle time after which a link that is not part of the overlay is closed, in milliseconds. */
+/** Idle timeout of a link that is not part of the overlay, in milliseconds. */
 export const TRANSIENT_IDLE_MS = 30_000;
 
-/** Numbers of links and heartbeats; times in milliseconds. */
+/** Options of links and heartbeats; times in milliseconds. */
 export interface NeighbourLinkOptions extends OverlayOptions {
   readonly heartbeatIntervalMs: number;
-  /** Silence after which a neighbour is suspected. */
+  /** Time without a message after which a neighbour is suspected. */
   readonly suspectAfterMs: number;
 }
 
-/** Told of changes to the set of overlay neighbours. */
+/** Listener for changes to the set of overlay neighbours. */
 export interface NeighbourListener {
   neighbourUp(peer: PeerIdentity, nowMs: number, effects: ControlEffect[]): void;
   neighbourDown(peerId: string, nowMs: number, effects: ControlEffect[]): void;
-  /** The heartbeat to send now. */
   heartbeatMessage(): HeartbeatMessage;
 }
 
-/** All links of a node. */
+/** Manages all links of a node. */
 export class NeighbourLinks {
   private readonly links = new Map<string, PeerLink>();
   private readonly overlay: Overlay;
@@ -48,12 +47,11 @@
     this.counters = options.counters;
   }
 
-  /** Time of the next {@link wake} that is needed, in milliseconds. */
+  /** Time at which {@link wake} must be called next, in milliseconds. */
   nextWakeAt(): number {
     return Math.min(this.heartbeatAt, this.overlay.nextWakeAt());
   }
 
-  /** Identities of the overlay neighbours. */
   *neighbours(): Iterable<PeerIdentity> {
     for (const link of this.links.values()) {
       if (link.isConfirmed) {
@@ -62,37 +60,39 @@
     }
   }
 
-  /** Machine ids of the overlay neighbours. */
   *neighbourIds(): Iterable<string> {
     for (const peer of this.neighbours()) {
       yield peer.id;
     }
   }
 
-  /** Whether the link to the peer is, or is about to become, part of the overlay. */
+  /**
+   * Whether the link to the peer is part of the overlay or awaits confirmation as an overlay link.
+   */
   isOverlayPeer(peerId: string): boolean {
     const role = this.links.get(peerId)?.role;
     return role === 'outbound' || role === 'inbound';
   }
 
-  /** The process started. */
   start(nowMs: number): void {
     this.heartbeatAt = nowMs + this.options.random() * this.options.heartbeatIntervalMs;
     this.overlay.start(nowMs);
   }
 
-  /** A planned stop: no more dials, no more inbound neighbours. */
+  /** Starts a planned stop: no more dials and no more inbound neighbours. */
   stop(): void {
     this.isStopping = true;
     this.overlay.stop();
   }
 
-  /** A newer machine list came into force. */
   setMachines(machines: MachineIndex, nowMs: number): void {
     this.overlay.setMachines(machines, nowMs);
   }
 
-  /** The node was paused: heartbeats go out first, and no silence of that time counts. */
+  /**
+   * Restarts the receive timeouts after a pause of this process and sends heartbeats on the next
+   * wake.
+   */
   restartTimeouts(nowMs: number): void {
     for (const link of this.links.values()) {
       link.lastReceivedAt = nowMs;
@@ -100,14 +100,14 @@
     this.heartbeatAt = Math.min(this.heartbeatAt, nowMs);
   }
 
-  /** Acts on what is due; returns the neighbours that fell silent. */
+  /** Handles all timers that are due; returns the neighbours that became unresponsive. */
   wake(nowMs: number, effects: ControlEffect[]): PeerIdentity[] {
     const silent = nowMs >= this.heartbeatAt ? this.sendHeartbeats(nowMs, effects) : [];
     this.overlay.wake(nowMs, effects);
     return silent;
   }
 
-  /** A link opened; `isProbe` when it answers a probe and is of no further use. */
+  /** Handles an opened link. One that only served a probe (`isProbe`) is closed. */
   linkOpened(peer: PeerIdentity, isProbe: boolean, nowMs: number, effects: ControlEffect[]): void {
     const dial = this.overlay.completeDial(peer);
     let link = this.links.get(peer.id);
@@ -129,7 +129,7 @@
     }
   }
 
-  /** The last link to a peer closed; returns whether a neighbour was lost by it. */
+  /** Handles the close of the last link to a peer; returns whether the peer was a neighbour. */
   lost(peerId: string, nowMs: number, effects: ControlEffect[]): boolean {
     const link = this.links.get(peerId);
     if (link === undefined) {
@@ -140,12 +140,12 @@
     return wasNeighbour;
   }
 
-  /** A dial failed. */
+  /** Handles a failed dial. */
   dialFailed(target: PeerAddress, nowMs: number): void {
     this.overlay.dialFailed(target, nowMs);
   }
 
-  /** A message arrived; `isOverlayTraffic` for those that keep no other link open. */
+  /** Records a received message. Overlay traffic does not keep a transient link open. */
   messageReceived(peerId: string, isOverlayTraffic: boolean, nowMs: number): void {
     const link = this.links.get(peerId);
     if (link === undefined) {
@@ -157,7 +157,9 @@
     }
   }
 
-  /** A peer told of members; one that has not confirmed its link gives hints whom to dial. */
+  /**
+   * Dials again sooner if a peer that did not confirm its link sent members, which can be dialled.
+   */
   memberUpdatesReceived(peerId: string, nowMs: number): void {
     const link = this.links.get(peerId);
     if (link?.role === 'outbound' && !link.isConfirmed) {
@@ -165,7 +167,7 @@
     }
   }
 
-  /** Another part of the control plane uses the link. */
+  /** Restarts the idle timeout of a link that another part of the control plane uses. */
   markUsed(peerId: string, nowMs: number): void {
     const link = this.links.get(peerId);
     if (link !== undefined) {
@@ -173,7 +175,7 @@
     }
   }
 
-  /** A heartbeat arrived: the peer is, or wants to be, a neighbour. Returns whether it is new. */
+  /** Handles a heartbeat, which confirms or requests an overlay link; returns whether it is new. */
   handleHeartbeat(
     peerId: string,
     message: HeartbeatMessage,
@@ -196,7 +198,9 @@
     return true;
   }
 
-  /** Closes the link; a node that holds nothing yet is told of others that it may dial. */
+  /**
+   * Closes the link; a peer that holds no documents yet is first sent neighbours that it can dial.
+   */
   private refuse(
     link: PeerLink,
     message: HeartbeatMessage,
--- a/src/membership/overlay.ts
+++ b/src/membership/overlay.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps a bounded number of overlay links: dials a few targets spread over zones and regions, accepts
- * a bounded number, replaces those that are gone and now and then exchanges one.
+ * Maintains a bounded number of overlay links: dials a few peers spread over zones and regions,
+ * accepts a bounded number of inbound links, replaces closed links and periodically exchanges one.
  */
 import type { ControlEffect, CounterSink, RandomSource } from '../control/control-event.js';
 import { CONTROL_COUNTERS } from '../control/control-counters.js';
@@ -27,29 +27,29 @@
 
 /** Time after which an unanswered dial counts as failed, in milliseconds. */
 export const DIAL_TIMEOUT_MS = 5_000;
-/** Longest wait before the first dials of a process, in milliseconds. */
+/** Maximum random delay before the first dials of a process, in milliseconds. */
 export const MAX_START_DELAY_MS = 300;
-/** Mean time between two exchanges of a neighbour, in milliseconds. */
+/** Mean interval between exchanges of a neighbour, in milliseconds. */
 export const RESHUFFLE_INTERVAL_MS = 600_000;
-/** Failures in a row after which a place's links are sought elsewhere, too. */
+/** Consecutive failures in a scope after which its links are also sought in another scope. */
 const FAILURES_BEFORE_FALLBACK = 3;
 
-/** Numbers of the overlay. */
+/** Options of the overlay. */
 export interface OverlayOptions {
   readonly self: PeerIdentity;
   readonly seeds: readonly PeerAddress[];
-  /** Links to dial. */
+  /** Number of links to dial. */
   readonly neighbours: number;
-  /** Links to accept at most. */
+  /** Maximum number of inbound links. */
   readonly maxInbound: number;
   readonly random: RandomSource;
   readonly counters: CounterSink;
 }
 
-/** What a dial is for. */
+/** Purpose of a dial. */
 export interface DialPurpose {
   readonly scope: LinkScope;
-  /** Neighbour that is given up once the dialled one confirms. */
+  /** Neighbour whose link is closed once the dialled peer confirms. */
   readonly replaces: string | undefined;
 }
 
@@ -57,7 +57,7 @@
   readonly deadline: number;
 }
 
-/** Decides on overlay links; `links` is shared with the membership that owns it. */
+/** Decides which overlay links to dial and accept. `links` is owned by {@link NeighbourLinks}. */
 export class Overlay {
   private readonly candidates: DialCandidates;
   private readonly schedules: Record<LinkScope, DialSchedule>;
@@ -84,25 +84,25 @@
     this.desired = quotasFor(self, options.neighbours, machines);
   }
 
-  /** The process started: dial soon, but not all processes at the same moment. */
+  /** Schedules the first dials after a random delay, so that processes do not all dial at once. */
   start(nowMs: number): void {
     this.maintainAt = nowMs + this.options.random() * MAX_START_DELAY_MS;
     this.scheduleReshuffle(nowMs);
   }
 
-  /** A planned stop: no more dials. */
+  /** Stops dialling, for a planned stop. */
   stop(): void {
     this.isStopping = true;
     this.maintainAt = Infinity;
     this.reshuffleAt = Infinity;
   }
 
-  /** Time at which {@link wake} has something to do, in milliseconds. */
+  /** Time at which {@link wake} must be called next, in milliseconds. */
   nextWakeAt(): number {
     return Math.min(this.maintainAt, this.reshuffleAt);
   }
 
-  /** Acts on what is due. */
+  /** Handles all timers that are due. */
   wake(nowMs: number, effects: ControlEffect[]): void {
     if (nowMs >= this.reshuffleAt) {
       this.reshuffle(nowMs, effects);
@@ -112,7 +112,7 @@
     }
   }
 
-  /** A newer machine list came into force: links are counted by the places it names. */
+  /** Replaces the machine list and recomputes quotas and link scopes from it. */
   setMachines(machines: MachineIndex, nowMs: number): void {
     const { self, neighbours } = this.options;
     this.machines = machines;
@@ -125,12 +125,14 @@
     this.requestMaintenance(nowMs);
   }
 
-  /** A neighbour beyond those wanted, to be given up; undefined when there is none. */
+  /** A link in excess of the quotas, to be closed; undefined if there is none. */
   surplusLink(): PeerLink | undefined {
     return surplusLink(this.desired, this.options.neighbours, this.links.values());
   }
 
-  /** A link opened: what it was dialled for, or undefined when the overlay did not dial it. */
+  /**
+   * Returns the purpose of the dial that opened a link; undefined if the overlay did not dial it.
+   */
   completeDial(peer: PeerIdentity): DialPurpose | undefined {
     const key = addressKey(peer);
     const dial = this.pending.get(key);
@@ -138,7 +140,6 @@
     return dial;
   }
 
-  /** Whether one more inbound link may be accepted. */
   acceptsInbound(): boolean {
     let inbound = 0;
     for (const link of this.links.values()) {
@@ -147,12 +148,12 @@
     return inbound < this.options.maxInbound;
   }
 
-  /** The peer of an outbound link confirmed it. */
+  /** Resets the back-off of the scope of an outbound link that the peer confirmed. */
   linkConfirmed(link: PeerLink): void {
     this.schedules[link.scope].succeeded();
   }
 
-  /** A link closed; one that was never confirmed was refused. */
+  /** Handles a closed link. An outbound link that was never confirmed counts as refused. */
   lost(link: PeerLink, nowMs: number): void {
     if (link.role === 'outbound' && !link.isConfirmed) {
       this.schedules[link.scope].failed(nowMs);
@@ -160,7 +161,7 @@
     this.requestMaintenance(nowMs);
   }
 
-  /** A dial failed; dials of others are left alone. */
+  /** Handles a failed dial; ignores dials that the overlay did not start. */
   dialFailed(target: PeerAddress, nowMs: number): void {
     const key = addressKey(target);
     const dial = this.pending.get(key);
@@ -170,7 +171,7 @@
     }
   }
 
-  /** Members were named by a peer that is no neighbour: it was full. */
+  /** Shortens the back-off when a peer that had no capacity left suggested other members. */
   expediteContactDial(nowMs: number): void {
     this.schedules.contact.expedite(nowMs);
     this.requestMaintenance(nowMs);
@@ -190,7 +191,7 @@
     this.requestMaintenance(nowMs);
   }
 
-  /** Dials for every place that has too few links, and plans the next look. */
+  /** Dials for every scope that has too few links, and schedules the next check. */
   private maintain(nowMs: number, effects: ControlEffect[]): void {
     this.expireDials(nowMs);
     const missing = withFallback(
@@ -238,7 +239,7 @@
     return true;
   }
 
-  /** Neither linked nor being dialled. */
+  /** Whether the candidate is neither linked nor being dialled. */
   private isAvailable(candidate: DialCandidate): boolean {
     const key = addressKey(candidate);
     if (this.pending.has(key)) {
@@ -281,7 +282,7 @@
     this.reshuffleAt = nowMs + RESHUFFLE_INTERVAL_MS * (0.5 + this.options.random());
   }
 
-  /** Dials a substitute for one confirmed outbound neighbour; the old one goes when it is there. */
+  /** Dials a replacement for one confirmed outbound neighbour, which is kept until then. */
   private reshuffle(nowMs: number, effects: ControlEffect[]): void {
     this.scheduleReshuffle(nowMs);
     const outbound = [...this.links.values()].filter(
--- a/src/membership/peer-identity.ts
+++ b/src/membership/peer-identity.ts
@@ -1,10 +1,10 @@
-/** Who a node is to its peers. */
+/** Identity and address of a node, as peers know it. */
 
-/** Identity that a peer proves when a link is set up; see {@link ../wire/} for the handshake. */
+/** Identity that a peer proves during the handshake of a link; see {@link ../wire/}. */
 export interface PeerIdentity {
-  /** Machine identity; unique among machines, kept by a process that restarts on the machine. */
+  /** Machine id; unique among machines and unchanged when the process restarts on the machine. */
   readonly id: string;
-  /** Rises with each start of the process on this machine: start time in milliseconds since 1970. */
+  /** Increases with each start of the process on this machine: start time in ms since the epoch. */
   readonly incarnation: number;
   readonly address: string;
   /** Port of the peer protocol. */
@@ -15,16 +15,15 @@
   readonly region: string;
 }
 
-/** An address at which some peer listens, before its identity is known. */
+/** Address of a peer whose identity may not be known yet. */
 export interface PeerAddress {
   readonly address: string;
   readonly controlPort: number;
 }
 
-/** Network distance of a neighbour: same zone, same region, or further. */
+/** Network distance of a peer: same zone, same region, or another region. */
 export type Distance = 'zone' | 'region' | 'remote';
 
-/** How far `peer` is from `self`. */
 export function distanceBetween(self: PeerIdentity, peer: PeerIdentity): Distance {
   if (self.region !== peer.region) {
     return 'remote';
--- a/src/membership/peer-link.ts
+++ b/src/membership/peer-link.ts
@@ -1,10 +1,10 @@
-/** The links of a node to its peers, and what each is used for. */
+/** Links of a node to its peers, and their roles. */
 import type { LinkScope } from './dial-candidates.js';
 import type { PeerIdentity } from './peer-identity.js';
 
 /**
  * - `outbound`: dialled for the overlay; confirmed by the peer's first heartbeat.
- * - `inbound`: the peer dialled it for the overlay, as its first heartbeat showed.
+ * - `inbound`: dialled by the peer for the overlay; recognized by the peer's first heartbeat.
  * - `transient`: anything else, such as a probe or a lease request; closed when idle.
  */
 export type LinkRole = 'outbound' | 'inbound' | 'transient';
@@ -13,14 +13,14 @@
 export interface PeerLink {
   readonly peer: PeerIdentity;
   role: LinkRole;
-  /** What an outbound link is for. */
+  /** Scope for which an outbound link was dialled. */
   scope: LinkScope;
   /** Whether the peer is an overlay neighbour: it sent a heartbeat and was accepted. */
   isConfirmed: boolean;
-  /** When the last message arrived, in milliseconds. */
+  /** Time of the last received message, in milliseconds. */
   lastReceivedAt: number;
-  /** When the link was last used for anything but the overlay, in milliseconds. */
+  /** Time of the last use other than overlay traffic, in milliseconds. */
   lastUsedAt: number;
-  /** Neighbour that this link is to replace, once it is confirmed. */
+  /** Neighbour whose link is closed once this link is confirmed. */
   replaces: string | undefined;
 }
--- a/src/membership/self-claim.ts
+++ b/src/membership/self-claim.ts
@@ -1,8 +1,8 @@
-/** What a node claims of itself: it refutes what others wrongly claim. */
+/** Claim of a node about itself, and refutation of wrong claims by others. */
 import type { MemberUpdate } from '../wire/message.js';
 import type { PeerIdentity } from './peer-identity.js';
 
-/** The node's own claim. */
+/** Current claim of the node about itself. */
 export class SelfClaim {
   private incarnation: number;
   private isLeaving = false;
@@ -11,26 +11,25 @@
     this.incarnation = identity.incarnation;
   }
 
-  /** Whether the node stays or leaves. */
   get status(): 'alive' | 'leaving' {
     return this.isLeaving ? 'leaving' : 'alive';
   }
 
-  /** The claim as it stands. */
   current(): MemberUpdate {
     return { member: { ...this.identity, incarnation: this.incarnation }, status: this.status };
   }
 
-  /** A planned stop; returns the claim to flood. */
+  /** Marks the node as leaving, for a planned stop; returns the claim to flood. */
   leave(): MemberUpdate {
     this.isLeaving = true;
     return this.current();
   }
 
   /**
-   * Answers a claim about this node. A wrong one under the current incarnation, or a later one, is
-   * outranked by raising the incarnation by one; one about an earlier incarnation by the claim as it
-   * stands. Returns the claim to flood, or undefined when `update` is right or does no harm.
+   * Handles a claim about this node. A wrong claim about the current or a later incarnation is
+   * refuted by an incarnation that is one higher than the claimed one. A wrong claim about an
+   * earlier incarnation is refuted by the current claim. Returns the claim to flood, or undefined
+   * if `update` needs no refutation.
    */
   refute(update: MemberUpdate): MemberUpdate | undefined {
     const claimed = update.member.incarnation;
