--- a/src/dissemination/dissemination.ts
+++ b/src/dissemination/dissemination.ts
@@ -75,9 +75,9 @@
   /** Versions held by each neighbour, by its id; omits neighbours whose versions are unknown. */
   neighbourVersions(): Map<string, HeldVersions> {
     const versions = new Map<string, HeldVersions>();
-    for (const [id, { knownVersions }] of this.announcer.neighbours) {
-      if (knownVersions !== undefined) {
-        versions.set(id, knownVersions);
+    for (const [id, { held }] of this.announcer.neighbours) {
+      if (held !== undefined) {
+        versions.set(id, held);
       }
     }
     return versions;
--- a/src/dissemination/document-fetcher.ts
+++ b/src/dissemination/document-fetcher.ts
@@ -205,10 +205,7 @@
   }
 
   private hasNewer(neighbour: Neighbour): boolean {
-    return (
-      neighbour.knownVersions !== undefined &&
-      this.store.wants(this.name, neighbour.knownVersions[this.name])
-    );
+    return neighbour.held !== undefined && this.store.wants(this.name, neighbour.held[this.name]);
   }
 
   private hasNewerNeighbour(): boolean {
@@ -232,17 +229,14 @@
   }
 
   private isBetter(candidate: Neighbour, best: Neighbour | undefined): boolean {
-    if (best?.knownVersions === undefined || candidate.knownVersions === undefined) {
+    if (best?.held === undefined || candidate.held === undefined) {
       return true;
     }
     const nearer = DISTANCE_RANK[best.distance] - DISTANCE_RANK[candidate.distance];
     if (nearer !== 0) {
       return nearer > 0;
     }
-    const newer = compareVersions(
-      candidate.knownVersions[this.name],
-      best.knownVersions[this.name],
-    );
+    const newer = compareVersions(candidate.held[this.name], best.held[this.name]);
     return newer !== 0 ? newer > 0 : this.random() < 0.5;
   }
 
--- a/src/dissemination/neighbour.ts
+++ b/src/dissemination/neighbour.ts
@@ -8,7 +8,7 @@
   /**
    * Versions that it holds or that were sent to it; undefined until it has announced its versions.
    */
-  knownVersions: HeldVersions | undefined;
+  held: HeldVersions | undefined;
   /** Consecutive heartbeats whose digest differed from this node's. */
   differingHeartbeats: number;
   /** Earliest time of the next announcement that is not caused by a change, in milliseconds. */
@@ -21,7 +21,7 @@
   return {
     peer,
     distance: distanceBetween(self, peer),
-    knownVersions: undefined,
+    held: undefined,
     differingHeartbeats: 0,
     nextAnnouncementAt: 0,
     announcedDigest: '',
--- a/src/dissemination/version-announcer.ts
+++ b/src/dissemination/version-announcer.ts
@@ -62,7 +62,7 @@
     }
     if (message.versionsDigest === this.store.versionsDigest()) {
       neighbour.differingHeartbeats = 0;
-      neighbour.knownVersions = this.store.versions();
+      neighbour.held = this.store.versions();
       return;
     }
     neighbour.differingHeartbeats += 1;
@@ -79,7 +79,7 @@
     nowMs: number,
     effects: ControlEffect[],
   ): void {
-    neighbour.knownVersions = versions;
+    neighbour.held = versions;
     let mustAnnounce = false;
     for (const name of DOCUMENT_NAMES) {
       if (isNewer(this.store.held(name).version, versions[name])) {
@@ -95,7 +95,7 @@
   propagate(name: DocumentName, nowMs: number, effects: ControlEffect[]): void {
     const held = this.store.held(name).version;
     for (const neighbour of this.neighbours.values()) {
-      const knownVersion = neighbour.knownVersions?.[name];
+      const knownVersion = neighbour.held?.[name];
       const isUpToDate = knownVersion !== undefined && compareVersions(knownVersion, held) >= 0;
       if (!isUpToDate && !this.push(neighbour, name, effects)) {
         this.announce(neighbour, nowMs, effects);
@@ -106,18 +106,18 @@
   /** Records that a neighbour holds a version, because it sent it. */
   recordKnownVersion(from: string, name: DocumentName, version: DocumentVersion): void {
     const neighbour = this.neighbours.get(from);
-    const knownVersions = neighbour?.knownVersions;
+    const knownVersions = neighbour?.held;
     if (
       neighbour !== undefined &&
       knownVersions !== undefined &&
       isNewer(version, knownVersions[name])
     ) {
-      neighbour.knownVersions = { ...knownVersions, [name]: version };
+      neighbour.held = { ...knownVersions, [name]: version };
     }
   }
 
   private push(neighbour: Neighbour, name: DocumentName, effects: ControlEffect[]): boolean {
-    const knownVersions = neighbour.knownVersions;
+    const knownVersions = neighbour.held;
     const held = this.store.held(name);
     if (knownVersions === undefined) {
       return false;
@@ -129,7 +129,7 @@
     this.counters.add(CONTROL_COUNTERS.deltasPushed);
     const message = { type: 'delta', document: name, ...sized.delta } as const;
     effects.push({ type: 'send', to: neighbour.peer.id, message });
-    neighbour.knownVersions = { ...knownVersions, [name]: held.version };
+    neighbour.held = { ...knownVersions, [name]: held.version };
     return true;
   }
 
--- a/test/control/component-links.test.ts
+++ b/test/control/component-links.test.ts
@@ -5,7 +5,7 @@
 import { identityOf } from './control-fixtures.js';
 
 describe('control plane: links of components', () => {
-  it('tells components of a link that the membership closes for being idle', () => {
+  it('notifies components when the membership closes an idle link', () => {
     const receivedEvents: ControlEvent[] = [];
     const plane = new ControlPlane({
       identity: identityOf(0),
--- a/test/control/control-fixtures.ts
+++ b/test/control/control-fixtures.ts
@@ -4,7 +4,6 @@
 import { canonicalJson } from '../../src/model/canonical-json.js';
 import type { Machine } from '../../src/model/machine.js';
 
-/** Counters in a map. */
 export class MapCounters implements CounterSink {
   readonly values = new Map<string, number>();
 
@@ -17,7 +16,7 @@
   }
 }
 
-/** A seeded generator of numbers in [0, 1) (mulberry32). */
+/** Seeded generator of numbers in [0, 1) (mulberry32). */
 export function seededRandom(seed: number): () => number {
   let state = seed >>> 0;
   return () => {
@@ -28,7 +27,7 @@
   };
 }
 
-/** The identity of node `index`; zones and regions by name. */
+/** Identity of node `index` in the given zone and region. */
 export function identityOf(index: number, zone = 'zone-a', region = 'region-1'): PeerIdentity {
   return {
     id: `machine-${index}`,
@@ -41,14 +40,16 @@
   };
 }
 
-/** The platform's entry for a node. */
+/** Entry of a node in the machine list of the platform. */
 export function machineOf(identity: PeerIdentity, state: Machine['state'] = 'live'): Machine {
   const { id, address, controlPort, relayPort, zone, region } = identity;
   const seniority = Number(id.split('-')[1]);
   return { id, address, controlPort, relayPort, zone, region, seniority, state };
 }
 
-/** Values of a source document with one service and `padding` further services of some size. */
+/**
+ * Values of a source document with one service and `padding` additional services with long names.
+ */
 export function sourceValues(timeoutMs: number, padding = 0): Map<string, string> {
   const values = new Map<string, string>();
   const service = (name: string, requestTimeoutMs: number): void => {
--- a/test/control/convergence.test.ts
+++ b/test/control/convergence.test.ts
@@ -13,7 +13,7 @@
 describe('control plane: convergence', () => {
   for (const size of [2, 3, 5, 10, 30]) {
     for (const padding of [0, 2_000]) {
-      it(`${size} nodes hold a version with ${padding + 1} services within 2 s`, () => {
+      it(`${size} nodes adopt a version with ${padding + 1} services within 2 s`, () => {
         const fleet = startFleet(size, size);
         fleet.pump.publish(nodeAt(fleet, size - 1), 7, sourceValues(100, padding));
         fleet.pump.run(2_000, () => fleet.pump.isConverged());
@@ -31,7 +31,7 @@
       },
     ],
     [
-      'two readers publish different documents under one number',
+      'two readers publish different documents with the same number',
       (fleet: Fleet) => {
         fleet.pump.publish(nodeAt(fleet, 1), 8, sourceValues(1));
         fleet.pump.publish(nodeAt(fleet, 7), 8, sourceValues(2));
@@ -46,7 +46,7 @@
       },
     ],
     [
-      'many versions in a row',
+      'many versions in quick succession',
       (fleet: Fleet) => {
         for (let number = 1; number <= 8; number += 1) {
           fleet.pump.publish(nodeAt(fleet, number % 3), number, sourceValues(number, number * 50));
@@ -55,7 +55,7 @@
       },
     ],
     [
-      'the reader dies after the publication',
+      'the reader is killed after the publication',
       (fleet: Fleet) => {
         fleet.pump.publish(nodeAt(fleet, 5), 8, sourceValues(1, 2_000));
         const holdsVersion8 = (node: PumpNode): boolean =>
@@ -65,7 +65,7 @@
       },
     ],
     [
-      'half of the fleet restarts in the middle',
+      'half of the fleet restarts during propagation',
       (fleet: Fleet) => {
         fleet.pump.publish(nodeAt(fleet, 0), 8, sourceValues(1, 2_000));
         fleet.pump.run(30);
@@ -76,7 +76,7 @@
       },
     ],
   ] as const) {
-    it(`${name}: all hold version 8 and none fell back`, () => {
+    it(`${name}: all nodes hold version 8 and no node reverted to an older version`, () => {
       const fleet = startFleet(12);
       disturb(fleet);
       fleet.pump.run(RECOVERY_MS, () => fleet.pump.isConverged());
@@ -89,7 +89,7 @@
     });
   }
 
-  it('a new node that met a stale source first follows its peers and pulls nobody back', () => {
+  it('a new node that read a stale source adopts the version of its peers and reverts none of them', () => {
     const fleet = startFleet(6);
     fleet.pump.publish(nodeAt(fleet, 0), 8, sourceValues(1));
     fleet.pump.run(1_000);
@@ -100,7 +100,7 @@
     assertVersionsOnlyIncrease(fleet);
   });
 
-  it('an invalid version is refused by every node, and each can tell why', () => {
+  it('an invalid version is refused by every node, and each node reports the reason', () => {
     const fleet = startFleet(10);
     fleet.pump.publish(nodeAt(fleet, 0), 1, sourceValues(1));
     fleet.pump.run(1_000);
--- a/test/control/fleet-membership.test.ts
+++ b/test/control/fleet-membership.test.ts
@@ -14,7 +14,7 @@
 } from './test-fleet.js';
 
 describe('control plane: membership', () => {
-  it('holds a killed node suspect, then dead, and alive again after a restart', () => {
+  it('reports a killed node as suspect, then dead, and alive again after a restart', () => {
     const fleet = startFleet(10);
     const victim = nodeAt(fleet, 4);
     fleet.pump.kill(victim);
@@ -27,7 +27,7 @@
     expect([...statusesOf(fleet, victim)]).to.deep.equal(['alive']);
   });
 
-  it('tells everyone of a planned stop within a second, and blames nobody for it', () => {
+  it('announces a planned stop to all nodes within a second, without any suspicion', () => {
     const fleet = startFleet(30);
     const leavingNode = nodeAt(fleet, 4);
     fleet.pump.deliver(leavingNode, { type: 'stop' });
@@ -39,7 +39,7 @@
     expect(countOf(fleet, 'ferryspool_member_suspicions_total')).to.equal(0);
   });
 
-  it('clears a node that only closed a link', () => {
+  it('does not suspect a node that only closed its links', () => {
     const fleet = startFleet(10);
     const [left, right] = [nodeAt(fleet, 0), nodeAt(fleet, 1)];
     const before = countOf(fleet, 'ferryspool_member_suspicions_total');
@@ -53,7 +53,7 @@
     expect([...statusesOf(fleet, right)]).to.deep.equal(['alive']);
   });
 
-  /** Blames its neighbours for its own pause. */
+  /** Mutant that does not restart timeouts after a pause, and so suspects its neighbours. */
   class NoPauseHandlingPlane extends ControlPlane {
     protected override restartTimeouts(): void {
       return;
@@ -64,7 +64,7 @@
     [ControlPlane, 0],
     [NoPauseHandlingPlane, 1],
   ] as const) {
-    it(`after a pause of its own, ${planeClass.name} accuses ${expected === 0 ? 'nobody' : 'others'}`, () => {
+    it(`after a pause of its process, ${planeClass.name} suspects ${expected === 0 ? 'no peer' : 'peers'}`, () => {
       const fleet = startFleet(10, 1, planeClass);
       const paused = nodeAt(fleet, 4);
       paused.pausedUntil = fleet.pump.nowMs + 10_000;
@@ -78,7 +78,7 @@
     });
   }
 
-  it('takes back a paused node once it wakes', () => {
+  it('reports a paused node as alive again after it resumes', () => {
     const fleet = startFleet(10);
     const paused = nodeAt(fleet, 4);
     paused.pausedUntil = fleet.pump.nowMs + 40_000;
@@ -94,14 +94,17 @@
   });
 
   for (const [name, isPartitioned] of [
-    ['a region is cut off', (from: string, to: string) => from.slice(0, 8) !== to.slice(0, 8)],
+    ['a region is partitioned', (from: string, to: string) => from.slice(0, 8) !== to.slice(0, 8)],
     [
-      'a zone is cut off',
+      'a zone is partitioned',
       (from: string, to: string) => (from === 'region-1-0') !== (to === 'region-1-0'),
     ],
-    ['a zone is not heard', (from: string, to: string) => from === 'region-1-0' && to !== from],
+    [
+      'outbound messages of a zone are lost',
+      (from: string, to: string) => from === 'region-1-0' && to !== from,
+    ],
   ] as const) {
-    it(`${name} for an hour, and joins again without falling back`, () => {
+    it(`${name} for an hour, and reconnects without reverting to an older version`, () => {
       const fleet = startFleet(18);
       fleet.pump.publish(nodeAt(fleet, 0), 1, sourceValues(1));
       fleet.pump.run(1_000);
@@ -123,7 +126,7 @@
 });
 
 describe('control plane: overlay', () => {
-  it('keeps the number of links bounded whatever the size of the fleet', () => {
+  it('bounds the number of links independently of the fleet size', () => {
     const averages = [40, 120].map((size) => {
       const fleet = startFleet(size);
       fleet.pump.run(60_000);
@@ -145,7 +148,7 @@
     }
   });
 
-  it('exchanges neighbours now and then without blaming those it leaves', () => {
+  it('exchanges neighbours periodically without suspecting the replaced ones', () => {
     const fleet = startFleet(20);
     const peers = (): string[] =>
       fleet.nodes.map((node) =>
@@ -162,7 +165,7 @@
     expect(countOf(fleet, 'ferryspool_member_suspicions_total')).to.equal(suspicions);
   });
 
-  it('sends heartbeats alone in a quiet fleet', () => {
+  it('sends only heartbeats in an idle fleet', () => {
     const fleet = startFleet(20);
     fleet.pump.run(60_000);
     fleet.nodes.forEach((node) => node.sent.splice(0));
--- a/test/control/message-pump.ts
+++ b/test/control/message-pump.ts
@@ -1,4 +1,4 @@
-/** A tiny virtual network for tests: control planes, links with latency, cuts, kills and pauses. */
+/** Virtual network for tests: control planes, links with latency, partitions, kills and pauses. */
 import type { ControlEffect, ControlEvent, CounterSink } from '../../src/control/control-event.js';
 import type { ControlPlaneOptions } from '../../src/control/control-options.js';
 import { ControlPlane } from '../../src/control/control-plane.js';
@@ -18,7 +18,7 @@
   readonly run: () => void;
 }
 
-/** A node of the pump. */
+/** A node of the virtual network. */
 export interface PumpNode {
   identity: PeerIdentity;
   plane: ControlPlane;
@@ -26,12 +26,12 @@
   readonly snapshots: Snapshot[];
   readonly sent: { readonly to: string; readonly message: PeerMessage }[];
   isUp: boolean;
-  /** While paused, events wait. */
+  /** Events are deferred until this time. */
   pausedUntil: number;
   wakeToken: number;
 }
 
-/** The network and its clock. */
+/** Simulates the network and its clock. */
 export class MessagePump {
   nowMs = 0;
   readonly nodes = new Map<string, PumpNode>();
@@ -43,7 +43,7 @@
     test: () => false,
   };
 
-  /** `planeClass` lets a test run a mutant of the control plane. */
+  /** `planeClass` allows a test to run a mutant of the control plane. */
   constructor(
     private readonly seed: number,
     private readonly planeClass: typeof ControlPlane = ControlPlane,
@@ -68,7 +68,7 @@
     return node;
   }
 
-  /** The process dies without a word. */
+  /** Stops a node without a planned stop and closes its links. */
   kill(node: PumpNode): void {
     node.isUp = false;
     for (const other of this.nodes.values()) {
@@ -76,7 +76,7 @@
     }
   }
 
-  /** A killed process starts again, holding nothing. */
+  /** Restarts a killed node with a higher incarnation and without documents. */
   restart(node: PumpNode, options: Partial<ControlPlaneOptions> = {}): void {
     node.identity = { ...node.identity, incarnation: node.identity.incarnation + 10 };
     node.plane = this.createPlane(node.identity, node.counters, options);
@@ -84,7 +84,7 @@
     this.deliver(node, { type: 'start' });
   }
 
-  /** Loses every message and dial for which `test` holds; links stay open. */
+  /** Drops every message and fails every dial for which `test` holds; links stay open. */
   cut(test: (from: PeerIdentity, to: PeerIdentity) => boolean): void {
     this.isCut.test = test;
   }
@@ -93,7 +93,9 @@
     this.isCut.test = () => false;
   }
 
-  /** Hands an event to a node now and carries out what it decides. */
+  /**
+   * Delivers an event to a node, or defers it while the node is paused, and executes the effects.
+   */
   deliver(node: PumpNode, event: ControlEvent): void {
     if (!node.isUp) {
       return;
@@ -105,7 +107,7 @@
     this.execute(node, node.plane.handle(event, this.nowMs));
   }
 
-  /** Carries out effects of a node, as those of a direct call of one of its ports. */
+  /** Executes effects of a node, such as those of a direct call to one of its ports. */
   execute(node: PumpNode, effects: readonly ControlEffect[]): void {
     for (const effect of effects) {
       this.executeOne(node, effect);
@@ -113,19 +115,18 @@
     this.scheduleWake(node);
   }
 
-  /** Publishes a platform document at one node, as its reader would. */
+  /** Publishes a source document at one node, as its reader would. */
   publish(node: PumpNode, number: number, values: ReadonlyMap<string, string>): void {
     const answer = { outcome: 'document', number, values } as const;
     this.execute(node, node.plane.documents.offer('source', answer, this.nowMs));
   }
 
-  /** Publishes a machine list at one node. */
   publishMachines(node: PumpNode, number: number, machines: readonly Machine[]): void {
     const answer = { outcome: 'document', number, values: machineValues(machines) } as const;
     this.execute(node, node.plane.documents.offer('machines', answer, this.nowMs));
   }
 
-  /** Runs for a while of virtual time, or until `isDone`. Returns the time that passed. */
+  /** Runs for `forMs` of virtual time or until `isDone`; returns the elapsed virtual time. */
   run(forMs: number, isDone: () => boolean = () => false): number {
     const startedAt = this.nowMs;
     const until = this.nowMs + forMs;
@@ -141,7 +142,7 @@
     return this.nowMs - startedAt;
   }
 
-  /** Runs something at a later time. */
+  /** Schedules a callback; callbacks with the same time run in scheduling order. */
   schedule(at: number, run: () => void): void {
     this.order += 1;
     const task = { at, order: this.order, run };
@@ -155,12 +156,11 @@
     this.tasks.splice(index, 0, task);
   }
 
-  /** Nodes that are up. */
   runningNodes(): PumpNode[] {
     return [...this.nodes.values()].filter((node) => node.isUp);
   }
 
-  /** Whether all living nodes hold the same versions. */
+  /** Whether all running nodes hold the same versions. */
   isConverged(): boolean {
     const digests = this.runningNodes().map((node) => node.plane.status().versionsDigest);
     return new Set(digests).size === 1;
--- a/test/control/test-fleet.ts
+++ b/test/control/test-fleet.ts
@@ -1,4 +1,4 @@
-/** A fleet on the message pump, and questions to it. */
+/** A fleet on the message pump, with queries and assertions. */
 import { expect } from 'chai';
 import { ControlPlane } from '../../src/control/control-plane.js';
 import type { MemberStatus } from '../../src/wire/message.js';
@@ -6,9 +6,9 @@
 import { MessagePump, type PumpNode } from './message-pump.js';
 
 export const SETTLE_MS = 8_000;
-/** Suspicion, time to refute, and the flood. */
+/** Upper bound for suspicion, the refutation timeout and the flood. */
 export const DEAD_DETECTION_MS = 25_000;
-/** Longest back-off of a dial, and a fetch. */
+/** Upper bound for the maximum dial back-off and a fetch. */
 export const RECOVERY_MS = 15_000;
 
 export interface Fleet {
@@ -24,7 +24,7 @@
   return node;
 }
 
-/** A fleet over two regions of three zones that knows one seed, its first node, and a machine list. */
+/** Starts a fleet in two regions of three zones, with its first node as seed and a machine list. */
 export function startFleet(size: number, seed = 1, planeClass = ControlPlane): Fleet {
   const pump = new MessagePump(seed, planeClass);
   const nodes: PumpNode[] = [];
@@ -41,7 +41,7 @@
   return fleet;
 }
 
-/** What the others think of a node. */
+/** Statuses of a node, as reported by the other running nodes. */
 export function statusesOf({ pump }: Fleet, of: PumpNode): Set<MemberStatus | undefined> {
   const others = pump.runningNodes().filter((node) => node !== of);
   return new Set(others.map((node) => node.plane.memberStatus(of.identity.id)));
@@ -56,7 +56,7 @@
   return nodes.reduce((sum, node) => sum + node.counters.get(counter), 0);
 }
 
-/** Every node's snapshots only rose. */
+/** Asserts that the source version of every node only increased. */
 export function assertVersionsOnlyIncrease({ nodes }: Fleet): void {
   for (const node of nodes) {
     const numbers = node.snapshots.map((snapshot) => snapshot.version.source.number);
--- a/test/dissemination/dissemination-bench.ts
+++ b/test/dissemination/dissemination-bench.ts
@@ -1,4 +1,4 @@
-/** One node's dissemination, with its neighbours played by the test. */
+/** Test bench for the dissemination of one node; the test acts as its neighbours. */
 import type { ControlEffect } from '../../src/control/control-event.js';
 import { Dissemination } from '../../src/dissemination/dissemination.js';
 import { DocumentMemo } from '../../src/dissemination/document-memo.js';
@@ -26,7 +26,7 @@
 export const REMOTE = identityOf(3, 'zone-c', 'region-2');
 export const ANNOUNCEMENT_INTERVAL_MS = 4_000;
 
-/** Versions 1 to 4 of one history: 1 to 3 small, 4 with many services. */
+/** Versions 1 to 4 of one history: 1 to 3 are small, 4 has many services. */
 export const HISTORY = [1, 2, 3, 4].reduce<VersionedDocument[]>((history, number) => {
   const last = history[history.length - 1] ?? VersionedDocument.empty();
   return [...history, last.next(number, sourceValues(number, number === 4 ? 2_000 : 0))];
@@ -64,7 +64,6 @@
   }));
 }
 
-/** One node's dissemination with its neighbours played by the test. */
 export class Bench {
   nowMs = 0;
   readonly counters = new MapCounters();
@@ -110,7 +109,7 @@
   }
 }
 
-/** Sent messages as `to type`, in order. */
+/** Sent messages in order, formatted as `to type`. */
 export function sent(effects: readonly ControlEffect[]): string[] {
   return effects.flatMap((effect) =>
     effect.type === 'send' ? [`${effect.to} ${effect.message.type}`] : [],
--- a/test/dissemination/document-store.test.ts
+++ b/test/dissemination/document-store.test.ts
@@ -19,26 +19,26 @@
   return JSON.stringify({ kind: 'route', name: 'home', spec: { pathPrefix: '/', ...spec } });
 }
 
-/** Documents that must be refused whole. */
+/** Documents that must be refused as a whole. */
 const INVALID: readonly { fault: string; name: DocumentName; values: Record<string, string> }[] = [
   {
-    fault: 'route without its service',
+    fault: 'route to a missing service',
     name: 'source',
     values: { 'service/tiles': SERVICE_JSON, 'route/home': route({ service: 'gone' }) },
   },
   {
-    fault: 'route without its secret',
+    fault: 'route with a missing secret',
     name: 'source',
     values: {
       'service/tiles': SERVICE_JSON,
       'route/home': route({ service: 'tiles', credential: { secret: 'gone', header: 'x-key' } }),
     },
   },
-  { fault: 'text that is no JSON', name: 'source', values: { 'service/tiles': '{' } },
+  { fault: 'invalid JSON', name: 'source', values: { 'service/tiles': '{' } },
   { fault: 'key of another resource', name: 'source', values: { 'service/other': SERVICE_JSON } },
   { fault: 'unknown kind', name: 'source', values: { 'x/y': '{"kind":"x","name":"y"}' } },
   { fault: 'machine without an address', name: 'machines', values: { 'machine/a': '{"id":"a"}' } },
-  { fault: 'machine text that is no JSON', name: 'machines', values: { 'machine/a': '[' } },
+  { fault: 'invalid JSON of a machine', name: 'machines', values: { 'machine/a': '[' } },
   {
     fault: 'key of another machine',
     name: 'machines',
@@ -48,7 +48,7 @@
   },
 ];
 
-/** Takes what it is given: the mutant that the tables must catch. */
+/** Mutant that adopts every document; the test cases must detect it. */
 class UncheckedStore extends DocumentStore {
   protected override isAdmissible(): boolean {
     return true;
@@ -78,7 +78,7 @@
   expect(store.wants(name, document.version)).to.equal(false);
 }
 
-/** Puts versions forward in the order given; the numbers held after each. */
+/** Offers versions in the given order; returns the number held after each. */
 function heldNumbers(store: DocumentStore, numbers: readonly number[]): number[] {
   return numbers.map((number) => {
     store.adopt('source', VersionedDocument.fromValues(number, sourceValues(number)));
@@ -88,7 +88,7 @@
 
 describe('document store', () => {
   for (const { fault, name, values } of INVALID) {
-    it(`refuses whole: ${fault}`, () => {
+    it(`refuses the whole document: ${fault}`, () => {
       const { store, counters } = newStore();
       store.adopt('source', documentOf(1, { 'service/tiles': SERVICE_JSON }));
       store.adopt(
@@ -121,11 +121,11 @@
     });
   }
 
-  it('would fall back without the rule that versions only rise', () => {
+  it('would revert to an older version without the rule that versions only increase', () => {
     expect(heldNumbers(newStore(UncheckedStore).store, [3, 1])).to.deep.equal([3, 1]);
   });
 
-  it('settles two documents of one number on the same one in either order', () => {
+  it('selects the same one of two documents with the same number in either order', () => {
     const documents = [1, 2].map((ms) => VersionedDocument.fromValues(5, sourceValues(ms)));
     const held = [documents, [...documents].reverse()].map((order) => {
       const { store } = newStore();
@@ -135,7 +135,7 @@
     expect(held[0]).to.deep.equal(held[1]);
   });
 
-  it('changes the digest of held versions with every document and with nothing else', () => {
+  it('changes the digest of held versions only when a document is adopted', () => {
     const { store } = newStore();
     const digests = [store.versionsDigest()];
     for (const name of ['source', 'operator', 'machines'] as const) {
@@ -160,20 +160,20 @@
     ['a newer number', held, answer(6, 2), 'newer'],
     ['a newer number with the same content', held, answer(6, 1), 'newer'],
     ['the held document again', held, answer(5, 1), 'nothing'],
-    ['another document under the held number', held, answer(5, 2), 'conflict'],
+    ['another document with the held number', held, answer(5, 2), 'conflict'],
     ['an older number', held, answer(4, 2), 'stale'],
-    ['a count that starts again', held, answer(1, 3), 'stale'],
+    ['a restarted numbering', held, answer(1, 3), 'stale'],
     ['a first document, numbered 0', VersionedDocument.empty(), answer(0, 1), 'newer'],
     ['not modified', held, { outcome: 'not-modified' }, 'nothing'],
     ['unavailable', held, { outcome: 'unavailable' }, 'nothing'],
     ['invalid', held, { outcome: 'invalid', number: 6, faults: [] }, 'invalid'],
   ] as const) {
-    it(`are judged: ${name}`, () => {
+    it(`are classified as ${expected}: ${name}`, () => {
       expect(judgePlatformAnswer(from, given).outcome).to.equal(expected);
     });
   }
 
-  it('of no number are never held as version 0 twice', () => {
+  it('numbered 0 are distinguished from no document, and another one is a conflict', () => {
     const { store } = newStore();
     store.adopt('source', VersionedDocument.fromValues(0, sourceValues(1)));
     expect(judgePlatformAnswer(store.held('source'), answer(0, 2)).outcome).to.equal('conflict');
--- a/test/dissemination/fetching.test.ts
+++ b/test/dissemination/fetching.test.ts
@@ -22,7 +22,7 @@
 } from './dissemination-bench.js';
 
 describe('fetches', () => {
-  it('go to one neighbour at a time, the nearest first', () => {
+  it('are sent to one neighbour at a time, the nearest first', () => {
     const alsoNear = identityOf(9);
     const bench = new Bench(0, [REMOTE, OTHER_ZONE, NEAR, alsoNear]);
     expect(sent(bench.announce(REMOTE, version(4).version))).to.deep.equal([]);
@@ -32,7 +32,7 @@
     expect(sent(bench.wakeAfter(1_000))).to.deep.equal([]);
   });
 
-  it('go to a far neighbour when no nearer one has the version in time', () => {
+  it('are sent to a remote neighbour if no nearer one announces the version in time', () => {
     const bench = new Bench(0, [REMOTE, NEAR]);
     bench.announce(REMOTE, version(4).version);
     expect(sent(bench.wakeAfter(300))).to.deep.equal([`${REMOTE.id} fetch`]);
@@ -46,7 +46,7 @@
         bench.receive(NEAR, { type: 'fetch-refused', document: 'source', retryAfterMs: 400 }),
     ],
     [
-      'the loss of the neighbour',
+      'the removal of the neighbour',
       (bench: Bench) => {
         const effects: ControlEffect[] = [];
         bench.dissemination.removeNeighbour(NEAR.id, bench.nowMs, effects);
@@ -54,7 +54,7 @@
       },
     ],
   ] as const) {
-    it(`turn to the next neighbour after ${name}`, () => {
+    it(`are sent to the next neighbour after ${name}`, () => {
       const bench = new Bench(0, [NEAR, OTHER_ZONE]);
       bench.announce(NEAR, version(4).version);
       bench.announce(OTHER_ZONE, version(4).version);
@@ -63,7 +63,7 @@
     });
   }
 
-  it('come back to the only neighbour after its refusal has passed', () => {
+  it('are retried with the only neighbour after its retry delay', () => {
     const bench = new Bench(0);
     bench.announce(NEAR, version(4).version);
     bench.receive(NEAR, { type: 'fetch-refused', document: 'source', retryAfterMs: 400 });
@@ -77,18 +77,18 @@
     [version(4).version, 'versions'],
     [NO_VERSION, 'snapshot-chunk'],
   ] as const) {
-    it(`from version ${have.number} are answered by ${expected}`, () => {
+    it(`from version ${have.number} are answered with ${expected}`, () => {
       const effects = new Bench(4).receive(NEAR, { type: 'fetch', document: 'source', have });
       expect(sent(effects)).to.deep.equal([`${NEAR.id} ${expected}`]);
     });
   }
 
-  it('are answered by a delta where that is smaller', () => {
+  it('are answered with a delta if it is smaller', () => {
     const fetch = { type: 'fetch', document: 'source', have: version(2).version } as const;
     expect(sent(new Bench(3).receive(NEAR, fetch))).to.deep.equal([`${NEAR.id} delta`]);
   });
 
-  it('beyond the bound on transfers are refused, until one has ended', () => {
+  it('beyond the maximum number of transfers are refused until one has ended', () => {
     const bench = new Bench(4);
     const fetch = { type: 'fetch', document: 'source', have: NO_VERSION } as const;
     const peers = Array.from({ length: MAX_CONCURRENT_TRANSFERS + 1 }, (_, n) =>
@@ -112,7 +112,7 @@
 describe('anti-entropy', () => {
   const other = { type: 'heartbeat', versionsDigest: 'f'.repeat(16) } as const;
 
-  it('announces versions when another digest lasts, and not too often', () => {
+  it('announces versions when a digest difference persists, at most once per interval', () => {
     const bench = new Bench(1);
     bench.nowMs = ANNOUNCEMENT_INTERVAL_MS;
     const answers = [1, 2, 3, 4].map(() => sent(bench.receive(NEAR, other)).length);
@@ -121,14 +121,14 @@
     expect(sent(bench.receive(NEAR, other))).to.deep.equal([`${NEAR.id} versions`]);
   });
 
-  it('says nothing while digests agree', () => {
+  it('sends nothing while no digest difference persists', () => {
     const bench = new Bench(1);
     bench.nowMs = ANNOUNCEMENT_INTERVAL_MS;
     const same = bench.dissemination.heartbeatMessage();
     expect(sent(bench.receive(NEAR, other, same, other, same))).to.deep.equal([]);
   });
 
-  it('helps a neighbour along that is behind, without an endless exchange', () => {
+  it('pushes a delta to a neighbour with an older version, but not to a peer that is no neighbour', () => {
     const bench = new Bench(3);
     expect(sent(bench.announce(NEAR, version(2).version))).to.deep.equal([`${NEAR.id} delta`]);
     expect(sent(bench.announce(REMOTE, version(2).version))).to.deep.equal([]);
@@ -143,7 +143,7 @@
     values: new Map([['service/tiles', '{']]),
   } as const;
 
-  it('are told once to every neighbour and to new ones', () => {
+  it('are sent once to every neighbour and to new neighbours', () => {
     const bench = new Bench(1, [NEAR, REMOTE]);
     const { documents } = bench.dissemination;
     expect(sent(documents.offer('source', badAnswer, 0))).to.deep.equal([
@@ -156,7 +156,7 @@
     expect(sent(effects)).to.include(`${OTHER_ZONE.id} rejection`);
   });
 
-  it('are passed on once, and end with a newer version', () => {
+  it('are propagated once, and cleared by a newer version', () => {
     const bench = new Bench(1, [NEAR, REMOTE]);
     const rejection = { type: 'rejection', version: bad.version, reason: 'dangling' } as const;
     expect(sent(bench.receive(NEAR, rejection, rejection))).to.deep.equal([
@@ -168,14 +168,14 @@
     expect(sent(bench.receive(REMOTE, { ...rejection, reason: 'late' }))).to.deep.equal([]);
   });
 
-  it('of versions that are overtaken already are not passed on', () => {
+  it('of versions that are already superseded are not propagated', () => {
     const bench = new Bench(3, [NEAR, REMOTE]);
     const rejection = { type: 'rejection', version: bad.version, reason: 'dangling' } as const;
     expect(sent(bench.receive(NEAR, rejection))).to.deep.equal([]);
     expect(bench.dissemination.rejectedSource()).to.equal(undefined);
   });
 
-  it('keep the version from being fetched', () => {
+  it('prevent the version from being fetched', () => {
     const bench = new Bench(1);
     bench.dissemination.documents.offer('source', badAnswer, 0);
     expect(sent(bench.announce(NEAR, bad.version))).to.deep.equal([]);
--- a/test/dissemination/receiving.test.ts
+++ b/test/dissemination/receiving.test.ts
@@ -20,9 +20,9 @@
 describe('deltas', () => {
   const damaged = { ...deltaMessage(2, 3), upserts: [] };
   for (const { name, held, messages, expected, fetches } of [
-    { name: 'that fit', held: 2, messages: [deltaMessage(2, 3)], expected: 3, fetches: false },
+    { name: 'that apply', held: 2, messages: [deltaMessage(2, 3)], expected: 3, fetches: false },
     {
-      name: 'twice',
+      name: 'that are duplicated',
       held: 2,
       messages: [deltaMessage(2, 3), deltaMessage(2, 3)],
       expected: 3,
@@ -30,29 +30,35 @@
     },
     { name: 'that are late', held: 3, messages: [deltaMessage(1, 2)], expected: 3, fetches: false },
     {
-      name: 'that begin earlier',
+      name: 'that start at an earlier version',
       held: 2,
       messages: [deltaMessage(1, 3)],
       expected: 3,
       fetches: false,
     },
     {
-      name: 'in the wrong order',
+      name: 'that arrive out of order',
       held: 1,
       messages: [deltaMessage(2, 3), deltaMessage(1, 2)],
       expected: 2,
       fetches: true,
     },
     {
-      name: 'with a gap before them',
+      name: 'that follow a gap',
       held: 1,
       messages: [deltaMessage(2, 3)],
       expected: 1,
       fetches: true,
     },
-    { name: 'of another digest', held: 2, messages: [damaged], expected: 2, fetches: true },
     {
-      name: 'for a node that holds nothing',
+      name: 'that do not match their digest',
+      held: 2,
+      messages: [damaged],
+      expected: 2,
+      fetches: true,
+    },
+    {
+      name: 'from nothing on a node that holds nothing',
       held: 0,
       messages: [deltaMessage(0, 3)],
       expected: 3,
@@ -68,14 +74,14 @@
     });
   }
 
-  it('that do not apply lead to a fetch of the whole document', () => {
+  it('that do not apply cause a fetch of the full document', () => {
     const bench = new Bench(2);
     bench.announce(NEAR, version(2).version);
     expect(fetchIn(bench.receive(NEAR, damaged))).to.deep.equal(NO_VERSION);
     expect(bench.counters.get('ferryspool_delta_mismatches_total')).to.equal(1);
   });
 
-  it('from nothing replace a document of another history under the same number', () => {
+  it('from nothing replace a document of another history with the same number', () => {
     const bench = new Bench(0);
     const values = new Map([...sourceValues(9), ...sourceValues(8, 1)]);
     bench.store.adopt('source', VersionedDocument.fromValues(2, values));
@@ -85,7 +91,7 @@
     expect(bench.store.held('source').version).to.deep.equal(version(3).version);
   });
 
-  it('from nothing hold the entries of a document numbered 0, too', () => {
+  it('from nothing include the entries of a document numbered 0', () => {
     const zero = VersionedDocument.fromValues(0, sourceValues(9, 1));
     const next = zero.next(1, sourceValues(10, 1));
     const delta = next.deltaFrom(NO_VERSION);
@@ -94,7 +100,7 @@
     );
   });
 
-  it('from nothing that are damaged are not asked for again at once', () => {
+  it('from nothing that are damaged are not requested again immediately', () => {
     const bench = new Bench(0);
     bench.announce(NEAR, version(3).version);
     const effects = bench.receive(NEAR, { ...deltaMessage(0, 3), upserts: [] });
@@ -107,7 +113,7 @@
     [1, 4, 'versions'],
     [undefined, 2, 'versions'],
   ] as const) {
-    it(`go to a neighbour at version ${known ?? 'unknown'} for ${change}: ${expected}`, () => {
+    it(`to a neighbour at version ${known ?? 'unknown'} for version ${change}: sends ${expected}`, () => {
       const bench = new Bench(1, [NEAR, REMOTE]);
       if (known !== undefined) {
         bench.announce(NEAR, version(known).version);
@@ -128,14 +134,18 @@
   const damaged = [...chunks.slice(0, -1), { ...(chunks.at(-1) ?? first), entries: [] }];
   for (const { name, messages, expected } of [
     { name: 'in order', messages: chunks, expected: 4 },
-    { name: 'with one twice', messages: [first, second, second, ...chunks.slice(2)], expected: 4 },
-    { name: 'begun anew', messages: [first, second, ...chunks], expected: 4 },
+    {
+      name: 'with a duplicate',
+      messages: [first, second, second, ...chunks.slice(2)],
+      expected: 4,
+    },
+    { name: 'restarted from the first', messages: [first, second, ...chunks], expected: 4 },
     { name: 'without the first', messages: afterFirst, expected: 0 },
     { name: 'with a gap', messages: [first, ...chunks.slice(2)], expected: 0 },
     { name: 'out of order', messages: [second, first, ...chunks.slice(2)], expected: 0 },
-    { name: 'of another digest', messages: damaged, expected: 0 },
+    { name: 'that do not match their digest', messages: damaged, expected: 0 },
     {
-      name: 'overtaken by a newer version',
+      name: 'superseded by a delta to the same version',
       messages: [first, deltaMessage(0, 4), ...afterFirst],
       expected: 4,
     },
@@ -148,14 +158,14 @@
     });
   }
 
-  it('of an older version, late, do not disturb the ones that are awaited', () => {
+  it('of an older version that arrive late do not affect the current fetch', () => {
     const bench = new Bench(3);
     bench.announce(NEAR, version(4).version);
     bench.receive(NEAR, first, ...chunkMessages(2), ...afterFirst);
     expect(bench.held).to.equal(4);
   });
 
-  it('of a version that came from elsewhere meanwhile are dropped, and blame nobody', () => {
+  it('of a version that was meanwhile adopted from another neighbour are dropped without a penalty', () => {
     const bench = new Bench(0, [NEAR, REMOTE]);
     bench.announce(NEAR, version(4).version);
     bench.receive(NEAR, first);
@@ -168,14 +178,14 @@
     expect(bench.dissemination.nextWakeAt()).to.equal(Infinity);
   });
 
-  it('that nobody asked for are dropped', () => {
+  it('that were not requested are dropped', () => {
     const bench = new Bench(0);
     bench.receive(NEAR, ...chunks);
     expect(bench.held).to.equal(0);
     expect(bench.counters.get('ferryspool_snapshot_chunks_dropped_total')).to.equal(chunks.length);
   });
 
-  it('stay below their bound', () => {
+  it('do not exceed the maximum size', () => {
     expect(chunks.length).to.be.greaterThan(3);
     for (const { entries } of chunks) {
       const bytes = entries.reduce((sum, entry) => sum + entryBytes(entry), 0);
--- a/test/membership/link-quotas.test.ts
+++ b/test/membership/link-quotas.test.ts
@@ -24,7 +24,7 @@
 
 describe('link quotas', () => {
   for (const [name, others, neighbours, expected] of [
-    ['nobody else listed', [], 4, { contact: 4 }],
+    ['no other machine listed', [], 4, { contact: 4 }],
     ['one zone', [SAME_ZONE], 4, { zone: 4 }],
     ['two zones', [SAME_ZONE, OTHER_ZONE], 4, { zone: 2, region: 2 }],
     [
@@ -33,8 +33,8 @@
       4,
       { zone: 2, region: 1, remote: 1 },
     ],
-    ['alone in the zone', [OTHER_ZONE, OTHER_REGION], 4, { region: 3, remote: 1 }],
-    ['alone in the region', [OTHER_REGION], 4, { remote: 4 }],
+    ['no other machine in the zone', [OTHER_ZONE, OTHER_REGION], 4, { region: 3, remote: 1 }],
+    ['no other machine in the region', [OTHER_REGION], 4, { remote: 4 }],
     ['one zone in each region', [SAME_ZONE, OTHER_REGION], 4, { zone: 3, remote: 1 }],
     [
       'eight neighbours',
@@ -43,13 +43,13 @@
       { zone: 4, region: 2, remote: 2 },
     ],
   ] as const) {
-    it(`of ${neighbours}: ${name}`, () => {
+    it(`for ${neighbours} neighbours: ${name}`, () => {
       const machines = new MachineIndex([SELF, ...others].map((machine) => machineOf(machine)));
       expect(quotasFor(SELF, neighbours, machines)).to.deep.equal({ ...noLinks(), ...expected });
     });
   }
 
-  it('count links and dials, and want a first contact when there is no link', () => {
+  it('counts links and pending dials, and requires a first contact if there is no link', () => {
     const desired = { ...noLinks(), zone: 2, remote: 1 };
     const pending = { ...noLinks(), zone: 1 };
     const links = [link(SAME_ZONE, 'zone')];
@@ -58,7 +58,7 @@
     expect(missingLinks(desired, [], pending)).to.deep.equal(alone);
   });
 
-  it('make up in another place for one that fails', () => {
+  it('requests the missing links of a failing scope also in another scope', () => {
     const desired = { ...noLinks(), zone: 2, remote: 1 };
     const missing = { ...noLinks(), remote: 1 };
     const withSubstitute = withFallback(missing, desired, (scope) => scope === 'remote');
@@ -66,7 +66,7 @@
     expect(withFallback(missing, desired, () => false)).to.deep.equal(missing);
   });
 
-  it('give up one link of a place that has too many, once all places are served', () => {
+  it('selects a surplus link of a scope that exceeds its quota, once confirmed links exceed the total', () => {
     const desired = { ...noLinks(), zone: 1, remote: 1 };
     const extra = [link(SAME_ZONE, 'zone'), link(OTHER_ZONE, 'zone')];
     expect(surplusLink(desired, 2, extra)).to.equal(undefined);
@@ -79,7 +79,7 @@
 });
 
 describe('dial schedule', () => {
-  it('backs off with jitter up to its bound, and starts again after a success', () => {
+  it('backs off with jitter up to the maximum, and resets after a success', () => {
     const schedule = new DialSchedule(seededRandom(1));
     let nowMs = 0;
     const waits = Array.from({ length: 12 }, () => {
@@ -96,7 +96,7 @@
     expect(schedule.nextDialAt - nowMs).to.be.lessThan(1_000);
   });
 
-  it('counts dials made together as one failure', () => {
+  it('counts concurrent failed dials as one failure', () => {
     const schedule = new DialSchedule(seededRandom(1));
     [0, 1, 2, 3].forEach((nowMs) => schedule.failed(nowMs));
     expect(schedule.failures).to.equal(1);
--- a/test/membership/member-table.test.ts
+++ b/test/membership/member-table.test.ts
@@ -25,14 +25,14 @@
   return record === undefined ? undefined : [record.status, record.identity.incarnation];
 }
 
-/** Believes whatever it heard last: the mutant that the table must catch. */
+/** Mutant that always accepts the latest claim; the precedence cases must detect it. */
 class UnrankedTable extends MemberTable {
   protected override mayReplace(): boolean {
     return true;
   }
 }
 
-/** Claims in the order heard, and the claim then held. */
+/** Claims in the order received, and the claim that must be recorded afterwards. */
 const PRECEDENCE: readonly (readonly [claims: readonly Claim[], expected: Claim | undefined])[] = [
   [[['alive', 5]], undefined],
   [[['suspect', 5]], ['suspect', 5]],
@@ -143,7 +143,7 @@
     });
   }
 
-  it('differs from a table without precedence in the cases that matter', () => {
+  it('detects a table without the precedence rule', () => {
     const differing = PRECEDENCE.filter(([claims, expected]) => {
       const table = new UnrankedTable(INDEX, DEAD_AFTER_MS);
       claims.forEach((one) => table.apply(claim(one), 0));
@@ -152,7 +152,7 @@
     expect(differing).to.have.length.greaterThan(4);
   });
 
-  it('passes a claim on once', () => {
+  it('returns a claim for propagation only once', () => {
     const table = new MemberTable(INDEX, DEAD_AFTER_MS);
     expect(table.apply(claim(['suspect', 5]), 0)).to.deep.equal(claim(['suspect', 5]));
     expect(table.apply(claim(['suspect', 5]), 1)).to.equal(undefined);
@@ -161,7 +161,7 @@
   });
 
   for (const [name, act, expected] of [
-    ['no word', () => undefined, 'dead'],
+    ['no refutation', () => undefined, 'dead'],
     ['a refutation', (table: MemberTable) => table.apply(claim(['alive', 6]), 100), 'alive'],
     [
       'a pause of this node',
@@ -169,7 +169,7 @@
       'suspect',
     ],
   ] as const) {
-    it(`holds a suspect ${expected} in the end after ${name}`, () => {
+    it(`reports a suspect as ${expected} after the timeout and ${name}`, () => {
       const table = new MemberTable(INDEX, DEAD_AFTER_MS);
       table.apply(claim(['suspect', 5]), 0);
       expect(table.nextExpiryAt()).to.equal(DEAD_AFTER_MS);
@@ -184,7 +184,7 @@
   for (const [name, state, claims, expected] of [
     ['listed and live, no claim', 'live', [], 'alive'],
     ['listed as leaving, no claim', 'leaving', [], 'leaving'],
-    ['listed as live, claimed to leave', 'live', [['leaving', 5]], 'leaving'],
+    ['listed as live, claimed to be leaving', 'live', [['leaving', 5]], 'leaving'],
     ['listed as leaving, claimed suspect', 'leaving', [['suspect', 5]], 'leaving'],
     [
       'listed as leaving, then dead',
@@ -196,9 +196,9 @@
       'dead',
     ],
     ['not listed, no claim', undefined, [], undefined],
-    ['not listed, met', undefined, [['alive', 5]], 'alive'],
+    ['not listed, claimed alive', undefined, [['alive', 5]], 'alive'],
   ] as const) {
-    it(`combines list and claims: ${name}`, () => {
+    it(`combines the machine list with claims: ${name}`, () => {
       const machines = state === undefined ? [] : [machineOf(LISTED, state)];
       const table = new MemberTable(new MachineIndex(machines), DEAD_AFTER_MS);
       claims.forEach((one) => table.apply(claim(one), 0));
@@ -206,7 +206,7 @@
     });
   }
 
-  it('forgets what is settled, and keeps members met that are on no list', () => {
+  it('removes settled records, and keeps unlisted members that are alive', () => {
     const table = new MemberTable(INDEX, DEAD_AFTER_MS);
     table.apply(claim(['suspect', 5]), 0);
     table.apply(claim(['alive', 6]), 0);
@@ -219,7 +219,7 @@
     expect(table.status(UNLISTED.id)).to.equal('alive');
   });
 
-  it('bounds the members met that are on no list, until a list names them', () => {
+  it('limits the number of unlisted members that are alive; listed ones do not count', () => {
     const table = new MemberTable(MachineIndex.EMPTY, DEAD_AFTER_MS);
     const many = Array.from({ length: MAX_UNLISTED_MEMBERS + 50 }, (_, n) => identityOf(n));
     many.forEach((member) => table.apply({ member, status: 'alive' }, 0));
@@ -230,7 +230,7 @@
   });
 });
 
-describe('a claim about oneself', () => {
+describe('self claim', () => {
   const self = identityOf(0);
   for (const [received, leaving, expected] of [
     [['suspect', 1_000], false, ['alive', 1_001]],
@@ -241,7 +241,7 @@
     [['alive', 1_000], false, undefined],
     [['suspect', 1_000], true, undefined],
   ] as const) {
-    it(`${received.join('@')}${leaving ? ' while leaving' : ''} is answered by ${expected?.join('@') ?? 'nothing'}`, () => {
+    it(`answers ${received.join('@')}${leaving ? ' while leaving' : ''} with ${expected?.join('@') ?? 'nothing'}`, () => {
       const selfClaim = new SelfClaim(self);
       if (leaving) {
         selfClaim.leave();
--- a/test/membership/membership.test.ts
+++ b/test/membership/membership.test.ts
@@ -21,7 +21,7 @@
 const HEARTBEAT: PeerMessage = { type: 'heartbeat', versionsDigest: NOTHING_HELD_DIGEST };
 const FULL_HEARTBEAT: PeerMessage = { type: 'heartbeat', versionsDigest: 'f'.repeat(16) };
 
-/** One control plane whose peers are played by the test. */
+/** One control plane; the test acts as its peers. */
 class Bench {
   nowMs = 0;
   readonly plane: ControlPlane;
@@ -45,12 +45,12 @@
     return this.receive(from, { type: 'members', updates: [{ member, status }] });
   }
 
-  /** The peer becomes an inbound neighbour. */
+  /** Makes the peer an inbound neighbour. */
   join(peer: PeerIdentity, heartbeat = HEARTBEAT): ControlEffect[] {
     return [...this.handle({ type: 'peer-up', peer }), ...this.receive(peer, heartbeat)];
   }
 
-  /** Wakes the plane whenever it asks for it, for a while. */
+  /** Advances the clock by `forMs`, waking the control plane at each requested time. */
   run(forMs: number): ControlEffect[] {
     const until = this.nowMs + forMs;
     const effects: ControlEffect[] = [];
@@ -63,7 +63,7 @@
   }
 }
 
-/** Effects in short: what is sent to whom, and links closed or dialled. */
+/** Summary of effects: recipients and types of sent messages, and links closed or dialled. */
 function summarize(effects: readonly ControlEffect[]): string[] {
   return effects.flatMap((effect) => {
     switch (effect.type) {
@@ -79,7 +79,7 @@
   });
 }
 
-/** Claims sent, as `to member status@incarnation`. */
+/** Sent claims, formatted as `to member status@incarnation`. */
 function claims(effects: readonly ControlEffect[]): string[] {
   return effects.flatMap((effect) =>
     effect.type === 'send' && effect.message.type === 'members'
@@ -91,7 +91,7 @@
 }
 
 describe('inbound links', () => {
-  it('become neighbours with the first heartbeat, which is answered', () => {
+  it('become neighbours on the first heartbeat, which is answered', () => {
     const bench = new Bench();
     expect(summarize(bench.handle({ type: 'peer-up', peer: PEER }))).to.deep.equal([]);
     expect(summarize(bench.receive(PEER, HEARTBEAT))).to.deep.equal([
@@ -103,13 +103,13 @@
 
   for (const [name, heartbeat, expected] of [
     [
-      'holds nothing: it is told of others',
+      'holds no documents and is sent other peers',
       HEARTBEAT,
       [`${OTHER.id} members`, `hang-up ${OTHER.id}`],
     ],
-    ['knows others', FULL_HEARTBEAT, [`hang-up ${OTHER.id}`]],
+    ['holds documents and is only disconnected', FULL_HEARTBEAT, [`hang-up ${OTHER.id}`]],
   ] as const) {
-    it(`are refused beyond the bound; the peer ${name}`, () => {
+    it(`are refused beyond the maximum; the peer ${name}`, () => {
       const bench = new Bench({ maxInbound: 1 });
       bench.join(PEER);
       expect(summarize(bench.join(OTHER, heartbeat))).to.deep.equal(expected);
@@ -123,7 +123,7 @@
     expect(summarize(bench.join(PEER, FULL_HEARTBEAT))).to.deep.equal([`hang-up ${PEER.id}`]);
   });
 
-  it('without a heartbeat are closed when idle, not before', () => {
+  it('without a heartbeat are closed only when idle', () => {
     const bench = new Bench();
     bench.handle({ type: 'peer-up', peer: PEER });
     bench.run(TRANSIENT_IDLE_MS / 2);
@@ -133,8 +133,8 @@
   });
 });
 
-describe('evidence and claims', () => {
-  it('a lost neighbour is probed; only a failed probe is told to the fleet', () => {
+describe('failure detection and claims', () => {
+  it('a disconnected neighbour is probed; only a failed probe is flooded', () => {
     for (const [answer, expected] of [
       [{ type: 'peer-up', peer: PEER }, []],
       [{ type: 'dial-failed', target: PEER }, [`${OTHER.id} ${PEER.id} suspect@1000`]],
@@ -151,7 +151,7 @@
     }
   });
 
-  it('a silent neighbour is hung up on and told of', () => {
+  it('an unresponsive neighbour is disconnected and its suspicion is flooded', () => {
     const bench = new Bench();
     bench.join(PEER);
     bench.join(OTHER);
@@ -162,7 +162,7 @@
     expect(claims(effects)).to.include(`${OTHER.id} ${PEER.id} suspect@1000`);
   });
 
-  it('an accused node refutes at once to the accuser, neighbour or not, then to the fleet', () => {
+  it('an accused node refutes immediately to the accuser, neighbour or not, then to the fleet', () => {
     const bench = new Bench();
     bench.join(OTHER);
     bench.handle({ type: 'peer-up', peer: PEER });
@@ -171,7 +171,7 @@
     expect(claims(bench.run(1_000))).to.include(`${OTHER.id} ${refutation}`);
   });
 
-  it('a peer that is accused here is told when its link opens', () => {
+  it('a suspected peer is sent the claim about it when its link opens', () => {
     const bench = new Bench();
     bench.join(OTHER);
     bench.claim(OTHER, PEER, 'suspect');
@@ -179,7 +179,7 @@
     expect(claims(effects)).to.deep.equal([`${PEER.id} ${PEER.id} suspect@1000`]);
   });
 
-  it('a member held dead is dialled now and then, so that it may refute', () => {
+  it('a dead member is dialled periodically, so that it can refute the claim', () => {
     const bench = new Bench({ neighbours: 0 });
     const values = machineValues([PEER, OTHER].map((peer) => machineOf(peer)));
     bench.plane.documents.offer('machines', { outcome: 'document', number: 1, values }, 0);
@@ -193,14 +193,14 @@
     expect(summarize(effects)).to.include(`dial ${PEER.address}`);
   });
 
-  it('a new neighbour is told who is leaving', () => {
+  it('a new neighbour is sent the leaving members', () => {
     const bench = new Bench();
     bench.join(OTHER);
     bench.claim(OTHER, PEER, 'leaving');
     expect(claims(bench.join(THIRD))).to.deep.equal([`${THIRD.id} ${PEER.id} leaving@1000`]);
   });
 
-  it('a claim is passed on once, and not to those it was heard from', () => {
+  it('a claim is propagated once, and not to the neighbours that sent it', () => {
     const bench = new Bench();
     [OTHER, THIRD, identityOf(4)].forEach((peer) => bench.join(peer));
     bench.run(1_500);
@@ -212,7 +212,7 @@
   });
 });
 
-describe('components beside the overlay', () => {
+describe('components that share links with the overlay', () => {
   class HangUpComponent implements ControlComponent {
     readonly receivedTypes: string[] = [];
 
@@ -228,10 +228,10 @@
   const release: PeerMessage = { type: 'lease-release', slot: 'zone-a/0', round: 1 };
 
   for (const [name, joins, expected] of [
-    ['an overlay link stays open', true, []],
+    ['an overlay link is kept open', true, []],
     ['another link is closed', false, [`hang-up ${PEER.id}`]],
   ] as const) {
-    it(`hang up: ${name}`, () => {
+    it(`request a hang-up: ${name}`, () => {
       const component = new HangUpComponent();
       const bench = new Bench({ components: [() => component] });
       bench.handle({ type: 'peer-up', peer: PEER });
@@ -243,7 +243,7 @@
     });
   }
 
-  it('see the electorate, and find relay addresses by list or by evidence', () => {
+  it('list the machines of a zone, and find relay addresses of listed and connected machines', () => {
     const bench = new Bench();
     const machines = [OTHER, PEER].map((peer) => machineOf(peer));
     const answer = { outcome: 'document', number: 1, values: machineValues(machines) } as const;
