--- a/src/proxy/loop-lateness.ts
+++ b/src/proxy/loop-lateness.ts
@@ -1,33 +1,33 @@
-/** How late the process has lately been: the longest delay of its regular looks. Pure. */
+/** Event loop lag: the longest recent delay of the periodic checks of the process. Pure. */
 
-/** For at least this long a delay counts, and for twice as long at most, in milliseconds. */
-const PERIOD_MS = 3_000;
+/** Minimum time for which a delay counts, in milliseconds; the maximum is twice as long. */
+const WINDOW_MS = 3_000;
 
-/** Keeps the longest delay of the running period and of the one before. */
-export class LoopLateness {
-  private periodBeganAtMs = -Infinity;
-  private longestMs = 0;
-  private longestBeforeMs = 0;
+/** Keeps the longest delay of the current window and of the previous one. */
+export class EventLoopLag {
+  private windowStartedAtMs = -Infinity;
+  private currentMaxMs = 0;
+  private previousMaxMs = 0;
 
-  /** A look was late by `delayMs`. */
-  add(delayMs: number, nowMs: number): void {
-    this.beginPeriod(nowMs);
-    this.longestMs = Math.max(this.longestMs, delayMs);
+  /** Records a check that was late by `delayMs`. */
+  record(delayMs: number, nowMs: number): void {
+    this.rotateWindow(nowMs);
+    this.currentMaxMs = Math.max(this.currentMaxMs, delayMs);
   }
 
-  /** Longest delay of the last {@link PERIOD_MS} at least, in milliseconds. */
-  recentMs(nowMs: number): number {
-    this.beginPeriod(nowMs);
-    return Math.max(this.longestMs, this.longestBeforeMs);
+  /** Longest delay in at least the last {@link WINDOW_MS}, in milliseconds. */
+  recentMaxMs(nowMs: number): number {
+    this.rotateWindow(nowMs);
+    return Math.max(this.currentMaxMs, this.previousMaxMs);
   }
 
-  private beginPeriod(nowMs: number): void {
-    const periodMs = nowMs - this.periodBeganAtMs;
-    if (periodMs < PERIOD_MS) {
+  private rotateWindow(nowMs: number): void {
+    const elapsedMs = nowMs - this.windowStartedAtMs;
+    if (elapsedMs < WINDOW_MS) {
       return;
     }
-    this.longestBeforeMs = periodMs < 2 * PERIOD_MS ? this.longestMs : 0;
-    this.longestMs = 0;
-    this.periodBeganAtMs = nowMs;
+    this.previousMaxMs = elapsedMs < 2 * WINDOW_MS ? this.currentMaxMs : 0;
+    this.currentMaxMs = 0;
+    this.windowStartedAtMs = nowMs;
   }
 }
--- a/src/proxy/loss-judge.ts
+++ b/src/proxy/loss-judge.ts
@@ -1,130 +1,143 @@
 /**
- * Tells the end of an endpoint's process from the loss of single connections. A process that ends takes all
- * its connections with it, and nothing listens at its address any more; after a reset, a cut link, a silent
- * connection or a refusal for lack of room at least one of these does not hold.
+ * Distinguishes the exit of an endpoint's process from the loss of individual connections. When a
+ * process exits, all of its connections close and nothing listens at its address any more. After a
+ * reset, a network failure, an unresponsive connection or a refusal for lack of capacity, at least
+ * one of these conditions does not hold.
  */
 import type { CancelTimer } from './scheduler.js';
 
 /**
- * Time in which the connections of a process that has ended are reported one after the other, in
- * milliseconds: those of one that had nine requests at work came within 1.4 ms.
+ * Time for which losses are collected before they are evaluated, in milliseconds. The connections
+ * of an exited process are reported one after the other: those of a process with nine requests in
+ * progress were reported within 1.4 ms.
  */
-const SETTLE_MS = 5;
+const LOSS_COLLECTION_MS = 5;
 /**
- * Time after a loss of all connections in which the news that the endpoint has started again tells that its
- * process had ended, in milliseconds. A process that is back before the probe would else end under one
- * request again and again, and nobody would be blamed; news of a start comes within a second or two.
+ * Time after the loss of all connections in which a report that the endpoint has restarted proves
+ * that its process had exited, in milliseconds. Without this period, a process that restarts before
+ * the probe could exit under the same request again and again without the request being held
+ * responsible. Reports of a restart arrive within one or two seconds.
  */
-const REBIRTH_NEWS_MS = 3_000;
+const RESTART_REPORT_TIMEOUT_MS = 3_000;
 
-/** A request at the endpoint. */
-export interface EndpointWork {
-  /** Whether its connection is open and its answer awaited. */
+/** A request that was sent to the endpoint. */
+export interface EndpointRequest {
+  /** Whether its connection is open and its response is awaited. */
   isConnected(): boolean;
 }
 
-/** What the judge needs of the endpoint's gate. */
-export interface LossJudgeOptions<W extends EndpointWork> {
-  /** Requests that the endpoint has got and may be at work on, the latest first. */
-  readonly atWork: () => readonly W[];
+/** Dependencies of the detector, provided by the endpoint's gate. */
+export interface ProcessExitDetectorOptions<R extends EndpointRequest> {
+  /** Requests that the endpoint has received and may be processing, latest first. */
+  readonly inProgress: () => readonly R[];
   readonly probeListening: (report: (isListening: boolean | undefined) => void) => void;
   readonly schedule: (delayMs: number, action: () => void) => CancelTimer;
-  /** The process ended while it was at work on these, the latest first. */
-  readonly onEnd: (work: readonly W[]) => void;
+  /** Called when the process exited while processing `requests`, which are ordered latest first. */
+  readonly onExit: (requests: readonly R[]) => void;
 }
 
-/** One loss or several that are looked at together. */
-interface Judgement<W> {
-  /** What was at work at the first loss. */
-  readonly atWork: readonly W[];
-  readonly lost: Set<W>;
-  readonly answered: Set<W>;
-  readonly waiting: ((hasEnded: boolean) => void)[];
+/** One or more losses that are evaluated together. */
+interface LossCheck<R> {
+  /** Requests in progress at the first loss. */
+  readonly inProgress: readonly R[];
+  readonly lost: Set<R>;
+  readonly answered: Set<R>;
+  readonly callbacks: ((hasExited: boolean) => void)[];
 }
 
-/** The judge of one incarnation of an endpoint. */
-export class LossJudge<W extends EndpointWork> {
-  private judgement: Judgement<W> | undefined;
-  /** What was at work when all connections were lost though something listens. */
-  private unexplained: readonly W[] | undefined;
-  /** Whether the endpoint is known to have started again since. */
-  private hasSuccessor = false;
+/** Detects the exit of the process of one incarnation of an endpoint. */
+export class ProcessExitDetector<R extends EndpointRequest> {
+  private currentCheck: LossCheck<R> | undefined;
+  /**
+   * Requests that were in progress when all connections were lost although a process was listening.
+   */
+  private unexplainedLoss: readonly R[] | undefined;
+  /** Whether the endpoint is known to have restarted since this incarnation. */
+  private hasRestarted = false;
 
-  constructor(private readonly options: LossJudgeOptions<W>) {}
+  constructor(private readonly options: ProcessExitDetectorOptions<R>) {}
 
-  /** The connection of `work` was lost; `report` gets, soon, whether the process ended. */
-  lost(work: W, report: (hasEnded: boolean) => void): void {
-    if (this.judgement === undefined) {
-      const others = this.options.atWork().filter((one) => one !== work);
-      this.judgement = {
-        atWork: [work, ...others],
+  /**
+   * Handles the loss of the connection of `request`; `report` soon receives whether the process
+   * exited.
+   */
+  connectionLost(request: R, report: (hasExited: boolean) => void): void {
+    if (this.currentCheck === undefined) {
+      const others = this.options.inProgress().filter((one) => one !== request);
+      this.currentCheck = {
+        inProgress: [request, ...others],
         lost: new Set(),
         answered: new Set(),
-        waiting: [],
+        callbacks: [],
       };
-      this.options.schedule(SETTLE_MS, () => this.settle());
+      this.options.schedule(LOSS_COLLECTION_MS, () => this.evaluate());
     }
-    this.judgement.lost.add(work);
-    this.judgement.waiting.push(report);
+    this.currentCheck.lost.add(request);
+    this.currentCheck.callbacks.push(report);
   }
 
-  /** The endpoint answered in whole. */
-  answered(work: W): void {
-    this.judgement?.answered.add(work);
+  /** Records that the request received a complete response. */
+  answered(request: R): void {
+    this.currentCheck?.answered.add(request);
   }
 
-  /** The endpoint has started again: the process that is judged here has ended, whatever listens. */
-  succeeded(): void {
-    const { unexplained } = this;
-    this.hasSuccessor = true;
-    this.unexplained = undefined;
-    if (unexplained !== undefined) {
-      this.options.onEnd(unexplained);
+  /**
+   * Records that the endpoint has restarted: the process of this incarnation has exited, even if
+   * another one is listening.
+   */
+  endpointRestarted(): void {
+    const { unexplainedLoss } = this;
+    this.hasRestarted = true;
+    this.unexplainedLoss = undefined;
+    if (unexplainedLoss !== undefined) {
+      this.options.onExit(unexplainedLoss);
     }
   }
 
-  private settle(): void {
-    const { judgement } = this;
-    if (judgement === undefined) {
+  private evaluate(): void {
+    const { currentCheck } = this;
+    if (currentCheck === undefined) {
       return;
     }
-    const { atWork, lost } = judgement;
-    if (atWork.some((one) => !lost.has(one) && one.isConnected())) {
+    const { inProgress, lost } = currentCheck;
+    if (inProgress.some((one) => !lost.has(one) && one.isConnected())) {
       this.conclude(false);
-    } else if (this.hasSuccessor) {
+    } else if (this.hasRestarted) {
       this.conclude(true);
     } else {
-      this.options.probeListening((isListening) => this.takeProbe(judgement, isListening));
+      this.options.probeListening((isListening) =>
+        this.handleProbeResult(currentCheck, isListening),
+      );
     }
   }
 
-  private takeProbe(judgement: Judgement<W>, isListening: boolean | undefined): void {
-    const hasEnded = isListening === false || this.hasSuccessor;
-    if (!hasEnded && isListening === true) {
-      this.keepUnexplained(unansweredOf(judgement));
+  private handleProbeResult(check: LossCheck<R>, isListening: boolean | undefined): void {
+    const hasExited = isListening === false || this.hasRestarted;
+    if (!hasExited && isListening === true) {
+      this.retainUnexplainedLoss(unansweredOf(check));
     }
-    this.conclude(hasEnded);
+    this.conclude(hasExited);
   }
 
-  private keepUnexplained(work: readonly W[]): void {
-    this.unexplained = work;
-    this.options.schedule(REBIRTH_NEWS_MS, () => {
-      if (this.unexplained === work) {
-        this.unexplained = undefined;
+  private retainUnexplainedLoss(requests: readonly R[]): void {
+    this.unexplainedLoss = requests;
+    this.options.schedule(RESTART_REPORT_TIMEOUT_MS, () => {
+      if (this.unexplainedLoss === requests) {
+        this.unexplainedLoss = undefined;
       }
     });
   }
 
-  private conclude(hasEnded: boolean): void {
-    const { judgement } = this;
-    this.judgement = undefined;
-    if (judgement !== undefined && hasEnded) {
-      this.options.onEnd(unansweredOf(judgement));
+  private conclude(hasExited: boolean): void {
+    const { currentCheck } = this;
+    this.currentCheck = undefined;
+    if (currentCheck !== undefined && hasExited) {
+      this.options.onExit(unansweredOf(currentCheck));
     }
-    judgement?.waiting.forEach((report) => report(hasEnded));
+    currentCheck?.callbacks.forEach((report) => report(hasExited));
   }
 }
 
-function unansweredOf<W>({ atWork, answered }: Judgement<W>): W[] {
-  return atWork.filter((one) => !answered.has(one));
+function unansweredOf<R>({ inProgress, answered }: LossCheck<R>): R[] {
+  return inProgress.filter((one) => !answered.has(one));
 }
--- a/src/proxy/pause-detector.ts
+++ b/src/proxy/pause-detector.ts
@@ -1,80 +1,90 @@
 /**
- * Tells whether the process has just woken from a pause. What it then reads from its sockets may be
- * old: its senders may have given up long ago, which shows only when their closing is read too. A signal that it
- * hears of then may be as old as the pause.
+ * Detects that the process has just resumed after a pause. Data that it then reads from its sockets
+ * may be stale: the senders may have given up long ago, which is known only once the end of their
+ * connections has been read too. A signal that is handled then may be as old as the pause.
  */
 import { CHECK_INTERVAL_MS } from '../clock/shared-interval.js';
 
-/** A gap between two looks that counts as a pause, in milliseconds. */
-const PAUSE_MS = 400;
-/** For this long after a pause, what arrives may be old, in milliseconds. */
-const WAKE_PERIOD_MS = 50;
-/** A look that is late by more shows that the process did not run, in milliseconds. */
-const USUAL_LATENESS_MS = 30;
+/** Minimum gap between two checks that counts as a pause, in milliseconds. */
+const MIN_PAUSE_MS = 400;
+/** Time after a pause in which incoming data may be stale, in milliseconds. */
+const RESUME_PERIOD_MS = 50;
 /**
- * For this long after a late look, a signal that is heard of may have come before it, in milliseconds: a process that
- * gets the processor in short turns reads other things first.
+ * Delay above which a late check shows that the process did not run for some time, in milliseconds.
  */
-const SIGNAL_PERIOD_MS = CHECK_INTERVAL_MS;
+const MAX_NORMAL_DELAY_MS = 30;
+/**
+ * Time after a late check in which a signal that is handled may have been sent before that check,
+ * in milliseconds: a process that gets the CPU only in short time slices handles other events
+ * first.
+ */
+const SIGNAL_AGE_PERIOD_MS = CHECK_INTERVAL_MS;
 
-/** A time between two looks in which the process did not run for a while. */
-interface LateLook {
+/** A gap between two checks in which the process did not run for some time. */
+interface LateCheck {
   readonly fromMs: number;
   readonly untilMs: number;
 }
 
-/** Decides from the times at which it was called. */
+/** Derives pauses from the times of its calls. */
 export class PauseDetector {
-  private wokenAtMs = -Infinity;
-  /** Whether what came during the latest pause has been read. */
-  private hasReadAll = true;
+  private resumedAtMs = -Infinity;
+  /** Whether the data that arrived during the latest pause has been read. */
+  private hasReadBacklog = true;
   private lastTickMs = Infinity;
-  private lateLook: LateLook = { fromMs: -Infinity, untilMs: -Infinity };
+  private lateCheck: LateCheck = { fromMs: -Infinity, untilMs: -Infinity };
 
   /**
-   * `onDelayMs` gets how late each look was, in milliseconds: other work kept the process busy. `readAll` calls its
-   * action once the process has read what has arrived.
+   * `onDelayMs` receives the delay of each tick in milliseconds, caused by other work of the
+   * process. `afterSocketsRead` runs its action once the process has read the data that has
+   * arrived.
    */
   constructor(
-    private lastLookMs: number,
+    private lastCheckMs: number,
     private readonly onDelayMs?: (delayMs: number) => void,
-    private readonly readAll: (action: () => void) => void = (action) => action(),
+    private readonly afterSocketsRead: (action: () => void) => void = (action) => action(),
   ) {}
 
-  /** The regular look. */
+  /** Performs the periodic check and reports its delay. */
   tick(nowMs: number): void {
     this.onDelayMs?.(Math.max(0, nowMs - this.lastTickMs - CHECK_INTERVAL_MS));
     this.lastTickMs = nowMs;
-    this.look(nowMs);
+    this.check(nowMs);
   }
 
-  /** Looks at the clock; to be called at least every {@link CHECK_INTERVAL_MS}. */
-  look(nowMs: number): void {
-    if (nowMs - this.lastLookMs > PAUSE_MS) {
-      this.wokenAtMs = nowMs;
-      this.hasReadAll = false;
-      this.readAll(() => (this.hasReadAll = true));
+  /**
+   * Compares the clock with the previous check. Must be called at least every
+   * {@link CHECK_INTERVAL_MS}.
+   */
+  check(nowMs: number): void {
+    if (nowMs - this.lastCheckMs > MIN_PAUSE_MS) {
+      this.resumedAtMs = nowMs;
+      this.hasReadBacklog = false;
+      this.afterSocketsRead(() => (this.hasReadBacklog = true));
     }
     if (this.isLate(nowMs)) {
-      this.lateLook = { fromMs: this.lastLookMs, untilMs: nowMs };
+      this.lateCheck = { fromMs: this.lastCheckMs, untilMs: nowMs };
     }
-    this.lastLookMs = nowMs;
+    this.lastCheckMs = nowMs;
   }
 
-  /** Whether the process has just woken, or has not read yet what came during the pause. */
-  hasJustWoken(nowMs: number): boolean {
-    this.look(nowMs);
-    return !this.hasReadAll || nowMs - this.wokenAtMs < WAKE_PERIOD_MS;
+  /**
+   * Whether the process has just resumed, or has not yet read the data that arrived during the
+   * pause.
+   */
+  hasJustResumed(nowMs: number): boolean {
+    this.check(nowMs);
+    return !this.hasReadBacklog || nowMs - this.resumedAtMs < RESUME_PERIOD_MS;
   }
 
-  /** Longest time for which a signal may have waited that is heard of now, in milliseconds. */
+  /** Maximum age of a signal that is handled now, in milliseconds. */
   signalAgeMs(nowMs: number): number {
-    this.look(nowMs);
-    const { fromMs, untilMs } = this.lateLook;
-    return nowMs - untilMs <= SIGNAL_PERIOD_MS ? nowMs - fromMs : 0;
+    this.check(nowMs);
+    const { fromMs, untilMs } = this.lateCheck;
+    return nowMs - untilMs <= SIGNAL_AGE_PERIOD_MS ? nowMs - fromMs : 0;
   }
 
   private isLate(nowMs: number): boolean {
-    return nowMs - this.lastLookMs > CHECK_INTERVAL_MS + USUAL_LATENESS_MS;
+    return nowMs - this.lastCheckMs > CHECK_INTERVAL_MS + MAX_NORMAL_DELAY_MS;
   }
 }
--- a/src/proxy/relay/credit-pool.ts
+++ b/src/proxy/relay/credit-pool.ts
@@ -1,81 +1,81 @@
 /**
- * Credit that a node gives to the senders of bodies. The bytes that all senders together have on the way
- * to the node are bounded, so that a link of few bytes a second does not fill with bodies: what is urgent
- * waits behind {@link POOL_BYTES} at most, whatever the number of bodies and of connections.
+ * Flow-control credit that a node grants to the senders of request bodies. The total number of body bytes in
+ * flight to the node is bounded, so that bodies do not fill a slow link: urgent frames queue behind at most
+ * {@link POOL_BYTES}, regardless of the number of bodies and connections.
  */
 import type { BodyArrival } from '../../admission/endpoint-admission.js';
 import type { CancelTimer, Scheduler } from '../scheduler.js';
 import { ArrivalRate } from './arrival-rate.js';
-import { isCollected } from './collected-body.js';
+import { isBuffered } from './collected-body.js';
 
 /**
- * Bytes of bodies on their way to a node at most. Keeps a link of 7 Mbit/s busy, and is carried by it in
- * 56 ms: a quarter of the target latency of the calls that share it. With windows for each body alone, ten
- * uploads of 60 KB held up ten calls for 742 ms on such a link (`upload-bodies.test.ts`).
+ * Maximum number of body bytes in flight to a node. Enough to keep a 7 Mbit/s link busy, which transfers it in
+ * 56 ms: a quarter of the target latency of the calls that share the link. With per-body windows only, ten
+ * uploads of 60 KB delayed ten calls by 742 ms on such a link (`upload-bodies.test.ts`).
  */
 export const POOL_BYTES = 48 * 1024;
-/** Bytes that are granted at once, so that a body of 60 KB takes four grants. */
+/** Maximum size of one grant; a body of 60 KB needs four grants. */
 const GRANT_BYTES = 16 * 1024;
 /**
- * A sender that leaves its credit unused no longer holds up the others: it has nothing to send, or nothing
- * is heard of it. That is so once others, who were given theirs later, have sent so many bytes, ...
+ * A sender is slow, and its unused credit no longer counts against the pool, once this many bytes of other
+ * bodies have arrived since its last grant or arrival: it has nothing to send or is unresponsive.
  */
 const OVERTAKEN_BYTES = 2 * POOL_BYTES;
-/** ... or once nothing has arrived of anybody for this long, in milliseconds, ... */
+/** Minimum time without arrivals from any sender after which senders with unused credit are slow, in milliseconds. */
 const STALL_MS = 150;
-/** ... and for so many times as long as the pool takes at the measured pace. */
-const STALL_POOL_TIMES = 4;
-/** Weight of a new measurement in the running mean of the time that bodies take. */
-const COLLECT_WEIGHT = 0.2;
+/** The stall timeout is at least this multiple of the estimated transfer time of the pool. */
+const STALL_POOL_MULTIPLE = 4;
+/** Weight of a new measurement in the moving average of the body transfer time. */
+const BODY_TIME_WEIGHT = 0.2;
 
-/** One body that a sender asks to send. */
+/** A body that a sender asks to send. */
 export interface CreditRequest {
-  /** Rank of its request; 0 goes first. */
+  /** Priority rank of the request; 0 is the most urgent. */
   readonly rank: number;
-  /** Length of the body in bytes; undefined when it is not known. */
+  /** Length of the body in bytes; undefined if unknown. */
   readonly lengthBytes: number | undefined;
-  /** Tells the sender that it may send so many bytes more. */
+  /** Allows the sender to send `bytes` more. */
   readonly grant: (bytes: number) => void;
 }
 
-/** The credit of one body. */
+/** Flow-control credit of one body. */
 export interface BodyCredit {
-  /** When the body will be here, at the measured pace; now before a measurement. */
+  /** Expected arrival of the body at the measured rate; the current time before the first measurement. */
   expectedArrival(): BodyArrival;
-  /** The receiver has room for so many bytes more. */
-  want(bytes: number): void;
-  arrived(bytes: number): void;
-  /** The body is over, or given up. */
+  /** The receiver can accept `bytes` more. */
+  addDemand(bytes: number): void;
+  recordArrival(bytes: number): void;
+  /** The body has ended or was abandoned. */
   close(): void;
 }
 
-/** The pool of one node. */
+/** Credit pool of one node. */
 export class CreditPool {
-  /** Bodies that are not over, by rank, and by age within a rank. */
+  /** Open bodies, ordered by rank, then by age; a long body moves to the end of its rank after each grant. */
   private readonly bodies: PooledCredit[] = [];
   private readonly rate = new ArrivalRate();
   private cancelStallTimer: CancelTimer | undefined;
   private meanMs: number | undefined;
-  /** Bytes that have arrived of all bodies. */
+  /** Total bytes received, over all bodies. */
   private arrivedBytes = 0;
   private lastArrivalAtMs = -Infinity;
 
-  /** `onBodyMs` gets the time that each whole body took, in milliseconds. */
+  /** `onBodyMs` receives the transfer time of each completed body, in milliseconds. */
   constructor(
     private readonly scheduler: Scheduler,
     private readonly onBodyMs?: (bodyMs: number) => void,
   ) {}
 
-  /** Mean time from the head of a request to the end of its body, in milliseconds; 0 before a body. */
+  /** Mean time from the request head to the end of its body, in milliseconds; 0 before the first body. */
   get meanBodyMs(): number {
     return this.meanMs ?? 0;
   }
 
-  /** A body is to be received; its sender gets credit once its receiver wants some. */
+  /** Registers a body; its sender is granted credit once the receiver adds demand. */
   open(request: CreditRequest): BodyCredit {
     const openedAtMs = this.scheduler.now();
     const body: PooledCredit = new PooledCredit(request, {
-      whole: () => this.measure(this.scheduler.now() - openedAtMs),
+      completed: () => this.recordBodyTime(this.scheduler.now() - openedAtMs),
       changed: (arrivedBytes) => this.changed(body, arrivedBytes),
       expectedArrival: () => this.expectedArrival(body),
     });
@@ -83,10 +83,10 @@
     return body;
   }
 
-  /** Puts a body behind those of its rank. */
+  /** Inserts a body after all others of the same or a more urgent rank. */
   private enqueue(body: PooledCredit): void {
-    const after = this.bodies.findIndex((other) => other.rank > body.rank);
-    this.bodies.splice(after < 0 ? this.bodies.length : after, 0, body);
+    const insertAt = this.bodies.findIndex((other) => other.rank > body.rank);
+    this.bodies.splice(insertAt < 0 ? this.bodies.length : insertAt, 0, body);
   }
 
   private dequeue(body: PooledCredit): void {
@@ -95,27 +95,27 @@
   }
 
   /**
-   * Bodies are carried in their order. Where nothing is ahead nothing is foreseen, so that a pace that was
-   * measured on a link in trouble does not turn bodies away once it is well.
+   * Estimates when the body arrives behind those ahead of it in the queue. With nothing ahead the expected
+   * arrival is now, so that a low rate measured on a congested link does not cause refusals after it recovers.
    */
   private expectedArrival(body: PooledCredit): BodyArrival {
     const nowMs = this.scheduler.now();
     const ahead = this.bodies.slice(0, this.bodies.indexOf(body));
-    const aheadBytes = ahead.reduce((bytes, other) => bytes + other.owedBytes, 0);
+    const aheadBytes = ahead.reduce((bytes, other) => bytes + other.remainingTurnBytes, 0);
     if (aheadBytes === 0) {
       return { beginsAtMs: nowMs, endsAtMs: nowMs };
     }
     const beginBytes = Math.max(0, aheadBytes - POOL_BYTES);
     return {
-      beginsAtMs: nowMs + this.rate.msFor(beginBytes, nowMs),
-      endsAtMs: nowMs + this.rate.msFor(aheadBytes + body.owedBytes, nowMs),
+      beginsAtMs: nowMs + this.rate.transferMs(beginBytes, nowMs),
+      endsAtMs: nowMs + this.rate.transferMs(aheadBytes + body.remainingTurnBytes, nowMs),
     };
   }
 
-  private measure(bodyMs: number): void {
+  private recordBodyTime(bodyMs: number): void {
     this.onBodyMs?.(bodyMs);
     const previous = this.meanMs ?? bodyMs;
-    this.meanMs = previous + (bodyMs - previous) * COLLECT_WEIGHT;
+    this.meanMs = previous + (bodyMs - previous) * BODY_TIME_WEIGHT;
   }
 
   private changed(body: PooledCredit, arrivedBytes: number): void {
@@ -123,8 +123,8 @@
     if (arrivedBytes > 0) {
       this.arrivedBytes += arrivedBytes;
       this.lastArrivalAtMs = nowMs;
-      body.moved(this.arrivedBytes, nowMs);
-      this.rate.arrived(arrivedBytes, nowMs);
+      body.recordProgress(this.arrivedBytes, nowMs);
+      this.rate.recordArrival(arrivedBytes, nowMs);
     }
     if (body.isClosed) {
       this.dequeue(body);
@@ -132,9 +132,9 @@
     this.grantInOrder(nowMs);
   }
 
-  /** A body that waits is not overtaken by those behind it; long ones take turns with the others. */
+  /** Grants credit in queue order; long bodies go to the end of their rank after each grant. */
   private grantInOrder(nowMs: number): void {
-    let freeBytes = POOL_BYTES - this.heldBytes(nowMs);
+    let freeBytes = POOL_BYTES - this.outstandingBytes(nowMs);
     let next = this.nextWaiting();
     while (next !== undefined && next.nextGrantBytes <= freeBytes) {
       freeBytes -= next.nextGrantBytes;
@@ -153,102 +153,102 @@
     return this.bodies.find((body) => body.nextGrantBytes > 0);
   }
 
-  /** Bytes of the pool that are granted and not used, but for those of senders that leave them unused. */
-  private heldBytes(nowMs: number): number {
+  /** Granted bytes that have not arrived, without those of slow senders. */
+  private outstandingBytes(nowMs: number): number {
     const stalledSinceMs = nowMs - this.stallMs(nowMs);
     const isStalled = this.lastArrivalAtMs <= stalledSinceMs;
     let bytes = 0;
     for (const body of this.bodies) {
-      body.judge(this.arrivedBytes, isStalled ? stalledSinceMs : -Infinity);
-      bytes += body.isSlow ? 0 : body.underWayBytes;
+      body.detectSlowSender(this.arrivedBytes, isStalled ? stalledSinceMs : -Infinity);
+      bytes += body.isSlow ? 0 : body.inFlightBytes;
     }
     return bytes;
   }
 
   private stallMs(nowMs: number): number {
-    return Math.max(STALL_MS, STALL_POOL_TIMES * this.rate.msFor(POOL_BYTES, nowMs));
+    return Math.max(STALL_MS, STALL_POOL_MULTIPLE * this.rate.transferMs(POOL_BYTES, nowMs));
   }
 
-  private watchForStall(isWaited: boolean): void {
+  private watchForStall(hasWaitingBody: boolean): void {
     this.cancelStallTimer?.();
     const nowMs = this.scheduler.now();
-    this.cancelStallTimer = isWaited
+    this.cancelStallTimer = hasWaitingBody
       ? this.scheduler.schedule(this.stallMs(nowMs), () => this.grantInOrder(this.scheduler.now()))
       : undefined;
   }
 }
 
-/** What the credit of a body needs of its pool. */
-interface PoolLink {
-  /** The body arrived in full. */
-  readonly whole: () => void;
+/** Callbacks from a body's credit to its pool. */
+interface PoolCallbacks {
+  /** The whole body was received. */
+  readonly completed: () => void;
   readonly changed: (arrivedBytes: number) => void;
   readonly expectedArrival: () => BodyArrival;
 }
 
 class PooledCredit implements BodyCredit {
   readonly rank: number;
-  /** Whether it takes turns with others of its rank; its length may be unknown. */
+  /** Whether the body is too long to be buffered, or of unknown length, and alternates with others of its rank. */
   readonly isLong: boolean;
   isClosed = false;
-  /** Whether its sender left credit unused; it then gets one grant at a time, apart from the pool. */
+  /** Whether the sender left credit unused; it then gets one grant at a time, which does not count against the pool. */
   isSlow = false;
-  /** Granted and not arrived yet. */
-  underWayBytes = 0;
-  /** When credit was last granted or used, and what had arrived of all bodies by then. */
-  private movedAtMs = 0;
-  private movedAtBytes = 0;
-  /** Whether its sender has sent something; until then it gets one grant. */
-  private hasMoved = false;
-  private wantedBytes = 0;
+  /** Bytes granted but not yet received. */
+  inFlightBytes = 0;
+  /** When credit was last granted or used, and the total bytes received by the pool at that time. */
+  private lastActivityAtMs = 0;
+  private poolBytesAtLastActivity = 0;
+  /** Whether the sender has sent any bytes; until then it gets a single grant. */
+  private hasReceivedBytes = false;
+  private demandBytes = 0;
   private ungrantedBytes: number;
 
   constructor(
     private readonly request: CreditRequest,
-    private readonly pool: PoolLink,
+    private readonly pool: PoolCallbacks,
   ) {
     this.rank = request.rank;
     this.ungrantedBytes = request.lengthBytes ?? Infinity;
-    this.isLong = !isCollected(request.lengthBytes);
+    this.isLong = !isBuffered(request.lengthBytes);
   }
 
-  /** What is still to come before its turn is over. */
-  get owedBytes(): number {
-    const toGrant = this.isLong
-      ? Math.min(this.wantedBytes, this.ungrantedBytes, GRANT_BYTES)
+  /** Bytes still to be received before the next body's turn. */
+  get remainingTurnBytes(): number {
+    const ungrantedTurnBytes = this.isLong
+      ? Math.min(this.demandBytes, this.ungrantedBytes, GRANT_BYTES)
       : this.ungrantedBytes;
-    return this.underWayBytes + toGrant;
+    return this.inFlightBytes + ungrantedTurnBytes;
   }
 
   get nextGrantBytes(): number {
-    const isAlone = this.isSlow || this.isLong || !this.hasMoved;
-    if (isAlone && this.underWayBytes > 0) {
+    const isSingleGrant = this.isSlow || this.isLong || !this.hasReceivedBytes;
+    if (isSingleGrant && this.inFlightBytes > 0) {
       return 0;
     }
-    return Math.min(GRANT_BYTES, this.wantedBytes, this.ungrantedBytes);
+    return Math.min(GRANT_BYTES, this.demandBytes, this.ungrantedBytes);
   }
 
-  /** Takes whether its sender leaves credit unused that it got before `stalledSinceMs`. */
-  judge(arrivedBytes: number, stalledSinceMs: number): void {
-    const isOvertaken = arrivedBytes - this.movedAtBytes >= OVERTAKEN_BYTES;
-    const isStalled = this.movedAtMs <= stalledSinceMs;
-    this.isSlow ||= this.underWayBytes > 0 && (isOvertaken || isStalled);
+  /** Marks the sender as slow if it was overtaken or has had unused credit since `stalledSinceMs`. */
+  detectSlowSender(poolArrivedBytes: number, stalledSinceMs: number): void {
+    const isOvertaken = poolArrivedBytes - this.poolBytesAtLastActivity >= OVERTAKEN_BYTES;
+    const isStalled = this.lastActivityAtMs <= stalledSinceMs;
+    this.isSlow ||= this.inFlightBytes > 0 && (isOvertaken || isStalled);
   }
 
-  /** Bytes arrived; a sender that has used its credit before others overtook it is not slow any more. */
-  moved(arrivedBytes: number, nowMs: number): void {
-    const wasInTime = arrivedBytes - this.movedAtBytes < OVERTAKEN_BYTES;
-    this.isSlow &&= !(wasInTime && this.underWayBytes === 0);
-    this.mark(arrivedBytes, nowMs);
-    this.hasMoved = true;
+  /** Bytes arrived; a sender that used its credit before being overtaken is no longer slow. */
+  recordProgress(poolArrivedBytes: number, nowMs: number): void {
+    const wasInTime = poolArrivedBytes - this.poolBytesAtLastActivity < OVERTAKEN_BYTES;
+    this.isSlow &&= !(wasInTime && this.inFlightBytes === 0);
+    this.markActivity(poolArrivedBytes, nowMs);
+    this.hasReceivedBytes = true;
   }
 
-  grantNext(arrivedBytes: number, nowMs: number): void {
+  grantNext(poolArrivedBytes: number, nowMs: number): void {
     const bytes = this.nextGrantBytes;
-    this.mark(arrivedBytes, nowMs);
-    this.wantedBytes -= bytes;
+    this.markActivity(poolArrivedBytes, nowMs);
+    this.demandBytes -= bytes;
     this.ungrantedBytes -= bytes;
-    this.underWayBytes += bytes;
+    this.inFlightBytes += bytes;
     this.request.grant(bytes);
   }
 
@@ -256,28 +256,28 @@
     return this.pool.expectedArrival();
   }
 
-  want(bytes: number): void {
-    this.wantedBytes += bytes;
+  addDemand(bytes: number): void {
+    this.demandBytes += bytes;
     this.pool.changed(0);
   }
 
-  arrived(bytes: number): void {
-    this.underWayBytes = Math.max(0, this.underWayBytes - bytes);
+  recordArrival(bytes: number): void {
+    this.inFlightBytes = Math.max(0, this.inFlightBytes - bytes);
     this.pool.changed(bytes);
   }
 
   close(): void {
     if (!this.isClosed) {
       this.isClosed = true;
-      if (this.ungrantedBytes === 0 && this.underWayBytes === 0) {
-        this.pool.whole();
+      if (this.ungrantedBytes === 0 && this.inFlightBytes === 0) {
+        this.pool.completed();
       }
       this.pool.changed(0);
     }
   }
 
-  private mark(arrivedBytes: number, nowMs: number): void {
-    this.movedAtBytes = arrivedBytes;
-    this.movedAtMs = nowMs;
+  private markActivity(poolArrivedBytes: number, nowMs: number): void {
+    this.poolBytesAtLastActivity = poolArrivedBytes;
+    this.lastActivityAtMs = nowMs;
   }
 }
--- a/src/proxy/relay/link-pulse.ts
+++ b/src/proxy/relay/link-pulse.ts
@@ -1,200 +1,209 @@
 /**
- * Whether a connection that owes something is still alive. A connection may go silent for good, without
- * a reset, while new ones to the same place work. After some quiet its user asks for a sign of life; when
- * none comes in the time that its measured round trips let one expect, the connection is suspect, and a
- * new one is opened. Only once that one works is the old one taken for silent: a peer that is held up,
- * and a link that is full, delay both alike. Pure: times go in, steps come out.
+ * Detects whether a connection with pending work is still alive. A connection can become permanently
+ * unresponsive without a reset while new connections to the same address work. After an idle period a ping
+ * is sent; if it times out, based on the measured round-trip times, the connection is suspect and a new one is
+ * opened. The old one is considered silent only once the new one works: a stalled peer or a congested link
+ * delays both alike. Performs no I/O: it maps timestamps to steps.
  */
 
-/** Least time to wait for a sign of life, in milliseconds; most pauses of a process are shorter. */
-export const MIN_WAIT_MS = 150;
-/** Longest such time, in milliseconds: a full link has up to half a second of bytes waiting. */
-export const MAX_WAIT_MS = 1_000;
-/** Time for a sign of life once a new connection works, in milliseconds: some turns of an event loop. */
-export const PROOF_GRACE_MS = 50;
+/** Minimum ping timeout, in milliseconds; most pauses of a process are shorter. */
+export const MIN_PING_TIMEOUT_MS = 150;
+/** Maximum ping timeout, in milliseconds: a congested link has up to half a second of bytes queued. */
+export const MAX_PING_TIMEOUT_MS = 1_000;
+/** Time for any bytes to arrive once a new connection works, in milliseconds: a few event loop iterations. */
+export const CONFIRMATION_GRACE_MS = 50;
 /**
- * Time from the question to the loss, in milliseconds: nothing more is awaited then. TCP sends a lost packet
- * again after 0.2 s, 0.6 s, 1.4 s and 3.0 s; at a loss of 3% one of a million is lost four times. At 1 s,
- * answers that came 1.9 s late were thrown away, also of requests that may not be sent again.
+ * Time from the ping until the connection is lost and nothing more is expected on it, in milliseconds. TCP
+ * retransmits a lost packet after 0.2 s, 0.6 s, 1.4 s and 3.0 s; at 3% packet loss one in a million is lost
+ * four times. With 1 s, answers that arrived 1.9 s late were discarded, including those to requests that must
+ * not be repeated.
  */
-export const LOSS_MS = 3_100;
+export const LOSS_TIMEOUT_MS = 3_100;
 /**
- * Time for an answer while other bytes arrive, in milliseconds: they may be answers to what was sent
- * before the way there went silent, or those that the answer has to wait behind.
+ * Ping timeout while other bytes arrive, in milliseconds: these may be answers to requests sent before the
+ * outbound direction failed, or bytes that the acknowledgement is queued behind.
  */
-export const ONE_WAY_WAIT_MS = 2_000;
-/** Time between two questions at least while bytes arrive, in milliseconds. */
-const BUSY_INTERVAL_MS = 1_000;
-/** Weights of a new round trip in the mean and in the deviation, as in RFC 6298. */
+export const ONE_WAY_PING_TIMEOUT_MS = 2_000;
+/** Minimum interval between pings while bytes arrive, in milliseconds. */
+const BUSY_PING_INTERVAL_MS = 1_000;
+/** Weights of a new round-trip time in the mean and in the deviation, as in RFC 6298. */
 const MEAN_WEIGHT = 1 / 8;
 const DEVIATION_WEIGHT = 1 / 4;
-/** Deviations beyond the mean that a round trip may take, as in RFC 6298. */
+/** Number of deviations above the mean in the ping timeout, as in RFC 6298. */
 const DEVIATIONS = 4;
-/** How late a look may be, in milliseconds, before it shows that this process itself stood still. */
-const LATE_LOOK_MS = 50;
-/** How often a question is put off for such lateness: a process may be late at each look. */
-const MAX_PUT_OFFS = 2;
+/** Delay of a check, in milliseconds, beyond which this process itself is assumed to have been paused. */
+const LATE_CHECK_MS = 50;
+/** Maximum number of postponements of a timeout by late checks: a process may be late at every check. */
+const MAX_POSTPONEMENTS = 2;
 
 /**
- * - `none`: nothing is to be done.
- * - `ask`: ask for a sign of life.
- * - `suspect`: none came; nothing new is to be sent on the connection, and a new one is to be opened.
- * - `silent`: the new one works. What may be sent again is given up here.
- * - `lost`: nothing came for longer still. Nothing more is awaited. Where no new connection works, the peer may
- *   stand still: once one works, the connection is taken for silent and then for lost, unless anything comes.
+ * - `none`: no action is needed.
+ * - `ping`: send a ping.
+ * - `suspect`: the ping timed out; send no new requests on the connection and open a new one.
+ * - `silent`: the new connection works; requests that are safe to repeat can be retried elsewhere.
+ * - `lost`: nothing has arrived for longer still; expect no more answers. If no new connection works, the peer may
+ *   be paused: once one works, the connection becomes silent and then lost again, unless anything arrives.
  */
-export type PulseStep = 'none' | 'ask' | 'suspect' | 'silent' | 'lost';
+export type LivenessStep = 'none' | 'ping' | 'suspect' | 'silent' | 'lost';
 
-/** What differs between the ends of a connection, in milliseconds. */
-export interface PulseLimits {
-  /** Silence after which to ask. */
+/** Settings that differ between the two ends of a connection, in milliseconds. */
+export interface LivenessLimits {
+  /** Idle time after which to send a ping. */
   readonly quietMs: number;
-  /** Time from the question to the loss where no new connection proves that the peer is alive. */
-  readonly unprovenLossMs: number;
+  /** Time from the ping to the loss if no new connection confirms that the peer is alive. */
+  readonly unconfirmedLossTimeoutMs: number;
 }
 
-/** A question under way. */
-interface Question {
-  readonly askedAtMs: number;
+/** A ping without an acknowledgement. */
+interface PendingPing {
+  readonly sentAtMs: number;
   dueAtMs: number;
-  putOffs: number;
-  stage: 'asked' | 'suspect' | 'silent' | 'lost';
+  postponements: number;
+  stage: 'pending' | 'suspect' | 'silent' | 'lost';
 }
 
-/** The pulse of one connection. */
-export class LinkPulse {
-  private question: Question | undefined;
-  private askedAtMs: number;
-  private heardAtMs: number;
-  private provenAtMs = -Infinity;
-  private meanMs: number;
-  private deviationMs: number;
+/** Liveness of one connection. */
+export class ConnectionLiveness {
+  private pendingPing: PendingPing | undefined;
+  private lastPingAtMs: number;
+  private lastReceivedAtMs: number;
+  private peerConfirmedAtMs = -Infinity;
+  private meanRoundTripMs: number;
+  private roundTripDeviationMs: number;
 
-  /** `openingMs` is what the opening of the connection took, as its first round trip; 0 if not known. */
+  /** `connectMs` is the time to open the connection, used as its first round-trip time; 0 if unknown. */
   constructor(
-    private readonly limits: PulseLimits,
-    openingMs: number,
+    private readonly limits: LivenessLimits,
+    connectMs: number,
     nowMs: number,
   ) {
-    this.heardAtMs = nowMs;
-    this.askedAtMs = nowMs;
-    this.meanMs = openingMs;
-    this.deviationMs = openingMs / 2;
+    this.lastReceivedAtMs = nowMs;
+    this.lastPingAtMs = nowMs;
+    this.meanRoundTripMs = connectMs;
+    this.roundTripDeviationMs = connectMs / 2;
   }
 
-  /** How long a sign of life is waited for at present, in milliseconds. */
-  get waitMs(): number {
-    const expectedMs = this.meanMs + DEVIATIONS * this.deviationMs;
-    return Math.min(MAX_WAIT_MS, Math.max(MIN_WAIT_MS, expectedMs));
+  /** Current timeout of a ping, in milliseconds. */
+  get pingTimeoutMs(): number {
+    const expectedMs = this.meanRoundTripMs + DEVIATIONS * this.roundTripDeviationMs;
+    return Math.min(MAX_PING_TIMEOUT_MS, Math.max(MIN_PING_TIMEOUT_MS, expectedMs));
   }
 
   /** Time since anything arrived, in milliseconds. */
-  quietForMs(nowMs: number): number {
-    return nowMs - this.heardAtMs;
+  idleMs(nowMs: number): number {
+    return nowMs - this.lastReceivedAtMs;
   }
 
-  /** Time until the next look that may matter; undefined while the regular ones are enough. */
-  msToNextLook(nowMs: number): number | undefined {
-    const atMs = this.question && this.nextStepAtMs(this.question);
-    return atMs !== undefined && atMs < Infinity ? Math.max(0, atMs - nowMs) : undefined;
+  /** Time until an extra check is due; undefined while the periodic checks suffice. */
+  msToNextCheck(nowMs: number): number | undefined {
+    const dueAtMs = this.pendingPing && this.nextStepDueAtMs(this.pendingPing);
+    return dueAtMs !== undefined && dueAtMs < Infinity ? Math.max(0, dueAtMs - nowMs) : undefined;
   }
 
-  /** Anything arrived. It proves the way here, and that the peer lives, but not the way there. */
-  heard(nowMs: number): void {
-    this.heardAtMs = nowMs;
-    if (this.question?.stage === 'asked') {
-      const dueAtMs = this.question.askedAtMs + ONE_WAY_WAIT_MS;
-      this.question.dueAtMs = Math.max(this.question.dueAtMs, dueAtMs);
+  /** Bytes arrived. They show that the peer is alive and the inbound direction works, but not the outbound one. */
+  recordReceived(nowMs: number): void {
+    this.lastReceivedAtMs = nowMs;
+    if (this.pendingPing?.stage === 'pending') {
+      const dueAtMs = this.pendingPing.sentAtMs + ONE_WAY_PING_TIMEOUT_MS;
+      this.pendingPing.dueAtMs = Math.max(this.pendingPing.dueAtMs, dueAtMs);
     }
   }
 
-  /** The question that was asked at `askedAtMs` is answered. */
-  answered(askedAtMs: number, nowMs: number): void {
-    this.heardAtMs = nowMs;
-    if (this.question?.askedAtMs === askedAtMs) {
-      this.question = undefined;
-      this.measured(nowMs - askedAtMs);
+  /** The ping sent at `pingSentAtMs` was acknowledged. */
+  recordAcknowledgement(pingSentAtMs: number, nowMs: number): void {
+    this.lastReceivedAtMs = nowMs;
+    if (this.pendingPing?.sentAtMs === pingSentAtMs) {
+      this.pendingPing = undefined;
+      this.recordRoundTrip(nowMs - pingSentAtMs);
     }
   }
 
-  /** Another connection to, or from, the same process was opened. */
-  proven(nowMs: number): void {
-    this.provenAtMs = nowMs;
-    // Without this, what a connection carried that fell silent before its peer's restart was awaited to its deadline.
-    if (this.question?.stage === 'lost') {
-      this.question.stage = 'suspect';
-      this.question.dueAtMs = nowMs + MAX_WAIT_MS;
+  /** Another connection to or from the same process was opened. */
+  confirmPeerAlive(nowMs: number): void {
+    this.peerConfirmedAtMs = nowMs;
+    // Otherwise requests on a connection that became silent before its peer restarted would wait until their deadlines.
+    if (this.pendingPing?.stage === 'lost') {
+      this.pendingPing.stage = 'suspect';
+      this.pendingPing.dueAtMs = nowMs + MAX_PING_TIMEOUT_MS;
     }
   }
 
-  /** To be called now and then while something is owed, and after {@link msToNextLook}. */
-  look(isOwed: boolean, nowMs: number): PulseStep {
-    if (this.question !== undefined) {
-      return this.lookForAnswer(this.question, nowMs);
+  /** Must be called periodically while work is pending, and after {@link msToNextCheck}. */
+  check(isAwaiting: boolean, nowMs: number): LivenessStep {
+    if (this.pendingPing !== undefined) {
+      return this.checkPing(this.pendingPing, nowMs);
     }
-    const isQuiet = this.quietForMs(nowMs) >= this.limits.quietMs;
-    const isAskedLately = nowMs - this.askedAtMs < BUSY_INTERVAL_MS;
-    if (!isOwed || (!isQuiet && isAskedLately)) {
+    const isIdle = this.idleMs(nowMs) >= this.limits.quietMs;
+    const isRecentlyPinged = nowMs - this.lastPingAtMs < BUSY_PING_INTERVAL_MS;
+    if (!isAwaiting || (!isIdle && isRecentlyPinged)) {
       return 'none';
     }
-    const askedAtMs = Math.floor(nowMs);
-    this.askedAtMs = askedAtMs;
-    this.question = { askedAtMs, dueAtMs: nowMs + this.waitMs, putOffs: 0, stage: 'asked' };
-    return 'ask';
+    const sentAtMs = Math.floor(nowMs);
+    this.lastPingAtMs = sentAtMs;
+    this.pendingPing = {
+      sentAtMs,
+      dueAtMs: nowMs + this.pingTimeoutMs,
+      postponements: 0,
+      stage: 'pending',
+    };
+    return 'ping';
   }
 
-  private lookForAnswer(question: Question, nowMs: number): PulseStep {
-    const atMs = this.nextStepAtMs(question);
-    if (nowMs < atMs) {
+  private checkPing(ping: PendingPing, nowMs: number): LivenessStep {
+    const stepDueAtMs = this.nextStepDueAtMs(ping);
+    if (nowMs < stepDueAtMs) {
       return 'none';
     }
-    if (nowMs - atMs > LATE_LOOK_MS && question.putOffs < MAX_PUT_OFFS) {
-      question.putOffs += 1;
-      question.dueAtMs = nowMs + this.waitMs;
+    if (nowMs - stepDueAtMs > LATE_CHECK_MS && ping.postponements < MAX_POSTPONEMENTS) {
+      ping.postponements += 1;
+      ping.dueAtMs = nowMs + this.pingTimeoutMs;
       return 'none';
     }
-    const isUnprovenLoss = !this.isProven(question) && nowMs >= this.unprovenLossAtMs(question);
-    question.stage = stageAfter(question.stage, isUnprovenLoss);
-    return question.stage === 'asked' ? 'none' : question.stage;
+    const isUnconfirmedLoss =
+      !this.isPeerConfirmed(ping) && nowMs >= this.unconfirmedLossAtMs(ping);
+    ping.stage = stageAfter(ping.stage, isUnconfirmedLoss);
+    return ping.stage === 'pending' ? 'none' : ping.stage;
   }
 
-  /** When the question's next step is due, as far as is known. */
-  private nextStepAtMs(question: Question): number {
-    const { stage, dueAtMs, askedAtMs } = question;
-    const unprovenAtMs = this.unprovenLossAtMs(question);
+  /** When the next step is due; `Infinity` if that depends on a new connection. */
+  private nextStepDueAtMs(ping: PendingPing): number {
+    const { stage, dueAtMs, sentAtMs } = ping;
+    const unconfirmedLossAtMs = this.unconfirmedLossAtMs(ping);
     switch (stage) {
-      case 'asked':
+      case 'pending':
         return dueAtMs;
       case 'suspect': {
-        const provenAtMs = this.isProven(question) ? this.provenAtMs + PROOF_GRACE_MS : Infinity;
-        return Math.max(dueAtMs, Math.min(provenAtMs, unprovenAtMs));
+        const silentAtMs = this.isPeerConfirmed(ping)
+          ? this.peerConfirmedAtMs + CONFIRMATION_GRACE_MS
+          : Infinity;
+        return Math.max(dueAtMs, Math.min(silentAtMs, unconfirmedLossAtMs));
       }
       case 'silent':
-        return Math.max(dueAtMs, Math.max(askedAtMs, this.heardAtMs) + LOSS_MS);
+        return Math.max(dueAtMs, Math.max(sentAtMs, this.lastReceivedAtMs) + LOSS_TIMEOUT_MS);
       case 'lost':
         return Infinity;
     }
   }
 
-  /** Whether a new connection has worked since the peer was heard or asked. */
-  private isProven({ askedAtMs }: Question): boolean {
-    return this.provenAtMs > Math.min(this.heardAtMs, askedAtMs);
+  /** Whether a new connection was opened since bytes last arrived or the ping was sent. */
+  private isPeerConfirmed({ sentAtMs }: PendingPing): boolean {
+    return this.peerConfirmedAtMs > Math.min(this.lastReceivedAtMs, sentAtMs);
   }
 
-  private unprovenLossAtMs({ askedAtMs }: Question): number {
-    return Math.max(askedAtMs, this.heardAtMs) + this.limits.unprovenLossMs;
+  private unconfirmedLossAtMs({ sentAtMs }: PendingPing): number {
+    return Math.max(sentAtMs, this.lastReceivedAtMs) + this.limits.unconfirmedLossTimeoutMs;
   }
 
-  private measured(roundTripMs: number): void {
-    const errorMs = Math.abs(roundTripMs - this.meanMs);
-    this.deviationMs += (errorMs - this.deviationMs) * DEVIATION_WEIGHT;
-    this.meanMs += (roundTripMs - this.meanMs) * MEAN_WEIGHT;
+  private recordRoundTrip(roundTripMs: number): void {
+    const errorMs = Math.abs(roundTripMs - this.meanRoundTripMs);
+    this.roundTripDeviationMs += (errorMs - this.roundTripDeviationMs) * DEVIATION_WEIGHT;
+    this.meanRoundTripMs += (roundTripMs - this.meanRoundTripMs) * MEAN_WEIGHT;
   }
 }
 
-function stageAfter(stage: Question['stage'], isUnprovenLoss: boolean): Question['stage'] {
-  if (stage === 'asked') {
+function stageAfter(stage: PendingPing['stage'], isUnconfirmedLoss: boolean): PendingPing['stage'] {
+  if (stage === 'pending') {
     return 'suspect';
   }
-  return stage === 'suspect' && !isUnprovenLoss ? 'silent' : 'lost';
+  return stage === 'suspect' && !isUnconfirmedLoss ? 'silent' : 'lost';
 }
--- a/src/proxy/relay/relay-connection.ts
+++ b/src/proxy/relay/relay-connection.ts
@@ -1,13 +1,13 @@
 /**
- * One connection between two nodes, as frames. What is sent within one turn of the event loop goes out
- * in one write, and frames of bodies wait behind all others, so that a cancellation or a refusal does
- * not queue behind an upload.
+ * Framed connection between two nodes. Frames sent within one event loop iteration are combined into a single
+ * write, and body frames are queued behind all others, so that a cancellation or a refusal does not wait for an
+ * upload.
  */
 import type { Duplex } from 'node:stream';
 import { FrameError } from '../../wire/frame-error.js';
 import { FrameReader } from '../../wire/frame-reader.js';
 import type { CancelTimer, Scheduler } from '../scheduler.js';
-import type { LinkPulse } from './link-pulse.js';
+import type { ConnectionLiveness } from './link-pulse.js';
 import {
   decodeRelayFrame,
   encodeRelayFrame,
@@ -15,53 +15,53 @@
   type StreamFrame,
 } from './relay-frame.js';
 
-/** Bytes that the socket may hold before frames of bodies wait here. */
+/** Maximum number of bytes queued in the socket; further body frames are queued by the connection. */
 const MAX_SOCKET_BACKLOG_BYTES = 64 * 1024;
 /**
- * Time after which the peer is asked whether a frame has arrived, in milliseconds, where nothing was heard
- * since: the silence before it was sent says nothing of it.
+ * Time after the first unacknowledged frame until a ping checks its delivery, in milliseconds, if nothing has been
+ * received since. Idle time before the frame was sent does not count: it does not show whether the frame arrived.
  */
-const UNHEARD_MS = 100;
+const PING_DELAY_MS = 100;
 /**
- * Silence after which the peer is asked again, in milliseconds, once it has shown that all that was sent has
- * arrived: only what is still to come can be lost. On a connection with one request at a time, each question
- * costs both nodes a tenth of a request, and most endpoints take longer than the first one waits.
+ * Idle time until the next ping, in milliseconds, once the peer has acknowledged everything that was sent: only
+ * data from the peer can still be lost. On a connection with one request at a time, each ping costs both nodes a
+ * tenth of a request, and most endpoints take longer to answer than the delay of the first ping.
  */
-const ARRIVED_QUIET_MS = 350;
+const DELIVERED_PING_DELAY_MS = 350;
 
-/** Gets what happens on a connection. */
+/** Receives the events of a connection. */
 export interface RelayConnectionObserver {
-  /** Frames that arrived together, in their order. */
+  /** Frames that arrived in one read, in order. */
   received(frames: readonly StreamFrame[]): void;
-  /** The connection is over; called once. */
+  /** The connection was closed; called once. */
   closed(): void;
 }
 
-/** Watches over a connection whose peer answers pings. */
+/** Liveness monitoring of a connection whose peer acknowledges pings. */
 export interface ConnectionWatch {
-  readonly pulse: LinkPulse;
+  readonly liveness: ConnectionLiveness;
   readonly scheduler: Scheduler;
-  /** Told of each step once; see {@link ./link-pulse.ts}. */
-  readonly onSilence: (step: 'suspect' | 'silent' | 'lost', quietMs: number) => void;
+  /** Called once for each step; see {@link ./link-pulse.ts}. */
+  readonly onLivenessStep: (step: 'suspect' | 'silent' | 'lost', quietMs: number) => void;
 }
 
-/** A connection. */
+/** Framed connection to a peer. */
 export class RelayConnection {
   private readonly reader = new FrameReader();
-  private urgent: Buffer[] = [];
-  private bodies: Buffer[] = [];
+  private urgentFrames: Buffer[] = [];
+  private bodyFrames: Buffer[] = [];
   private isFlushDue = false;
   private isEnding = false;
   private isClosed = false;
-  private cancelLook: CancelTimer | undefined;
-  /** When the first frame was sent since anything was heard; undefined where none was. */
-  private unheardSinceMs: number | undefined;
-  /** When the question was asked that went out behind all that was sent; undefined where none did. */
-  private allAskedAtMs: number | undefined;
-  /** Whether it was answered: all that was sent has arrived. */
-  private hasAllArrived = false;
+  private cancelCheck: CancelTimer | undefined;
+  /** When the first frame was sent since bytes last arrived; undefined if none was. */
+  private unackedSinceMs: number | undefined;
+  /** When a ping was sent behind all other frames; undefined if frames were sent or queued after it. */
+  private deliveryPingAtMs: number | undefined;
+  /** Whether that ping was acknowledged, which shows that everything sent before it has arrived. */
+  private isAllDelivered = false;
 
-  /** `head` is what was already read of the socket. */
+  /** `head` holds the bytes already read from the socket. */
   constructor(
     private readonly socket: Duplex,
     head: Buffer,
@@ -79,8 +79,8 @@
   }
 
   /**
-   * Sends a frame with the others of this turn of the event loop. False when a value does not fit its
-   * field: nothing is sent then.
+   * Queues a frame, which is written together with the others of this event loop iteration. Returns false, and
+   * sends nothing, if a value does not fit its field.
    */
   send(frame: RelayFrame): boolean {
     const bytes = tryEncode(frame);
@@ -88,9 +88,9 @@
       return false;
     }
     if (frame.kind !== 'ping' && frame.kind !== 'acknowledgement') {
-      this.noteSent();
+      this.recordSent();
     }
-    const queue = frame.kind === 'body' ? this.bodies : this.urgent;
+    const queue = frame.kind === 'body' ? this.bodyFrames : this.urgentFrames;
     queue.push(bytes);
     if (!this.isFlushDue) {
       this.isFlushDue = true;
@@ -99,48 +99,48 @@
     return true;
   }
 
-  /** To be called now and then; `isOwed` is whether anything is awaited on the connection. */
-  look(isOwed: boolean): void {
+  /** Must be called periodically; `isAwaiting` tells whether work is pending on the connection. */
+  checkLiveness(isAwaiting: boolean): void {
     if (this.watch === undefined || this.isClosed) {
       return;
     }
-    const { pulse, scheduler, onSilence } = this.watch;
+    const { liveness, scheduler, onLivenessStep } = this.watch;
     const nowMs = scheduler.now();
-    const step = pulse.look(isOwed && this.isQuestionDue(pulse, nowMs), nowMs);
-    if (step === 'none' && this.cancelLook === undefined) {
+    const step = liveness.check(isAwaiting && this.isPingDue(liveness, nowMs), nowMs);
+    if (step === 'none' && this.cancelCheck === undefined) {
       return;
     }
-    if (step === 'ask') {
-      const askedAtMs = Math.floor(nowMs);
-      this.allAskedAtMs = this.bodies.length === 0 ? askedAtMs : undefined;
-      this.send({ kind: 'ping', askedAtMs });
+    if (step === 'ping') {
+      const pingSentAtMs = Math.floor(nowMs);
+      this.deliveryPingAtMs = this.bodyFrames.length === 0 ? pingSentAtMs : undefined;
+      this.send({ kind: 'ping', pingSentAtMs });
       this.flush();
     }
-    this.lookAgainInTime(this.watch);
-    if (step !== 'ask' && step !== 'none') {
-      onSilence(step, pulse.quietForMs(nowMs));
+    this.scheduleCheck(this.watch);
+    if (step !== 'ping' && step !== 'none') {
+      onLivenessStep(step, liveness.idleMs(nowMs));
     }
   }
 
-  /** Whether anything arrived at `atMs` or later; true where nobody watches. */
-  hasHeardSince(atMs: number): boolean {
+  /** Whether bytes arrived at `atMs` or later; always true without liveness monitoring. */
+  hasReceivedSince(atMs: number): boolean {
     if (this.watch === undefined) {
       return true;
     }
-    const { pulse, scheduler } = this.watch;
+    const { liveness, scheduler } = this.watch;
     const nowMs = scheduler.now();
-    return nowMs - pulse.quietForMs(nowMs) >= atMs;
+    return nowMs - liveness.idleMs(nowMs) >= atMs;
   }
 
-  /** Another connection to, or from, the same process was opened. */
-  isProvenAlive(): void {
+  /** Another connection to or from the same process was opened. */
+  confirmPeerAlive(): void {
     if (this.watch !== undefined) {
-      this.watch.pulse.proven(this.watch.scheduler.now());
-      this.lookAgainInTime(this.watch);
+      this.watch.liveness.confirmPeerAlive(this.watch.scheduler.now());
+      this.scheduleCheck(this.watch);
     }
   }
 
-  /** Sends what waits, then closes; takes as long as the peer needs to read it. */
+  /** Sends all queued frames, then closes the connection; this takes until the peer has read them. */
   end(): void {
     this.isEnding = true;
     this.flush();
@@ -150,27 +150,29 @@
     this.socket.destroy();
   }
 
-  private isQuestionDue(pulse: LinkPulse, nowMs: number): boolean {
-    if (this.hasAllArrived) {
-      return pulse.quietForMs(nowMs) >= ARRIVED_QUIET_MS;
+  private isPingDue(liveness: ConnectionLiveness, nowMs: number): boolean {
+    if (this.isAllDelivered) {
+      return liveness.idleMs(nowMs) >= DELIVERED_PING_DELAY_MS;
     }
-    return this.unheardSinceMs === undefined || nowMs - this.unheardSinceMs >= UNHEARD_MS;
+    return this.unackedSinceMs === undefined || nowMs - this.unackedSinceMs >= PING_DELAY_MS;
   }
 
-  private noteSent(): void {
-    this.allAskedAtMs = undefined;
-    this.hasAllArrived = false;
-    this.unheardSinceMs ??= this.watch?.scheduler.now();
+  private recordSent(): void {
+    this.deliveryPingAtMs = undefined;
+    this.isAllDelivered = false;
+    this.unackedSinceMs ??= this.watch?.scheduler.now();
   }
 
-  /** What arrived meanwhile is read before the look. */
-  private lookAgainInTime({ pulse, scheduler }: ConnectionWatch): void {
-    this.cancelLook?.();
-    const delayMs = this.isClosed ? undefined : pulse.msToNextLook(scheduler.now());
-    this.cancelLook =
+  /** The check runs after the bytes that arrived in the meantime are read. */
+  private scheduleCheck({ liveness, scheduler }: ConnectionWatch): void {
+    this.cancelCheck?.();
+    const delayMs = this.isClosed ? undefined : liveness.msToNextCheck(scheduler.now());
+    this.cancelCheck =
       delayMs === undefined
         ? undefined
-        : scheduler.schedule(Math.ceil(delayMs), () => setImmediate(() => this.look(false)));
+        : scheduler.schedule(Math.ceil(delayMs), () =>
+            setImmediate(() => this.checkLiveness(false)),
+          );
   }
 
   private flush(): void {
@@ -178,42 +180,42 @@
     if (this.isClosed || this.socket.writableEnded) {
       return;
     }
-    const due = this.urgent;
-    this.urgent = [];
+    const due = this.urgentFrames;
+    this.urgentFrames = [];
     let dueBytes = this.socket.writableLength + byteLengthOf(due);
-    while (this.bodies.length > 0 && dueBytes < MAX_SOCKET_BACKLOG_BYTES) {
-      const next = this.bodies.shift() ?? Buffer.alloc(0);
+    while (this.bodyFrames.length > 0 && dueBytes < MAX_SOCKET_BACKLOG_BYTES) {
+      const next = this.bodyFrames.shift() ?? Buffer.alloc(0);
       due.push(next);
       dueBytes += next.length;
     }
     if (due.length > 0) {
       const bytes = due.length === 1 ? due[0] : Buffer.concat(due);
-      this.socket.write(bytes, () => this.flushRest());
+      this.socket.write(bytes, () => this.flushBodies());
     }
-    if (this.isEnding && this.bodies.length === 0) {
+    if (this.isEnding && this.bodyFrames.length === 0) {
       this.socket.end();
     }
   }
 
-  /** Bodies that did not fit go on once the bytes before them are out, whether or not a drain is told. */
-  private flushRest(): void {
-    if (this.bodies.length > 0) {
+  /** Continues with queued body frames once the previous write completes, whether or not `drain` is emitted. */
+  private flushBodies(): void {
+    if (this.bodyFrames.length > 0) {
       this.flush();
     }
   }
 
   private read(chunk: Buffer): void {
     const frames: StreamFrame[] = [];
-    this.watch?.pulse.heard(this.watch.scheduler.now());
-    this.unheardSinceMs = undefined;
+    this.watch?.liveness.recordReceived(this.watch.scheduler.now());
+    this.unackedSinceMs = undefined;
     try {
       this.reader.push(chunk);
       for (let body = this.reader.next(); body !== undefined; body = this.reader.next()) {
         const frame = decodeRelayFrame(body);
         if (frame.kind === 'ping') {
-          this.send({ kind: 'acknowledgement', askedAtMs: frame.askedAtMs });
+          this.send({ kind: 'acknowledgement', pingSentAtMs: frame.pingSentAtMs });
         } else if (frame.kind === 'acknowledgement') {
-          this.takeAcknowledgement(frame.askedAtMs);
+          this.handleAcknowledgement(frame.pingSentAtMs);
         } else {
           frames.push(frame);
         }
@@ -227,17 +229,17 @@
     this.observer.received(frames);
   }
 
-  private takeAcknowledgement(askedAtMs: number): void {
+  private handleAcknowledgement(pingSentAtMs: number): void {
     if (this.watch !== undefined) {
-      this.hasAllArrived ||= askedAtMs === this.allAskedAtMs;
-      this.watch.pulse.answered(askedAtMs, this.watch.scheduler.now());
-      this.lookAgainInTime(this.watch);
+      this.isAllDelivered ||= pingSentAtMs === this.deliveryPingAtMs;
+      this.watch.liveness.recordAcknowledgement(pingSentAtMs, this.watch.scheduler.now());
+      this.scheduleCheck(this.watch);
     }
   }
 
   private close(): void {
     this.isClosed = true;
-    this.cancelLook?.();
+    this.cancelCheck?.();
     this.observer.closed();
   }
 }
--- a/src/proxy/server-drain.ts
+++ b/src/proxy/server-drain.ts
@@ -1,6 +1,6 @@
 /**
- * Carries a planned stop out on servers: looks again and again at what is in flight, gives it to
- * {@link PlannedStop}, and does what that decides.
+ * Executes a planned stop on servers: regularly passes the state of their requests and connections
+ * to {@link PlannedStop} and executes its effects.
  */
 import type http from 'node:http';
 import { Server as SocketServer } from 'node:net';
@@ -8,38 +8,43 @@
 import type { PlannedStop, StopEffect, StopEvent } from './planned-stop.js';
 import { SocketPoll } from './socket-poll.js';
 
-/** Time between two looks at what is in flight, in milliseconds. */
-const POLL_MS = 20;
-/** Reads of a listener before it is shut, at most, while connections wait there. */
+/** Interval between two polls, in milliseconds. */
+const POLL_INTERVAL_MS = 20;
+/** Maximum number of socket polls before a listener is closed while connections keep arriving. */
 const MAX_ACCEPT_READS = 500;
-/** Looks in a row that are given up since the process stood still after its read. */
-const MAX_STALE_LOOKS = 10;
+/**
+ * Maximum number of consecutive polls that are discarded because the process was suspended after
+ * reading its sockets.
+ */
+const MAX_STALE_POLLS = 10;
 
-/** What a planned stop needs to know of its servers, and does beside them. */
+/**
+ * State that a planned stop depends on, and actions that it performs besides those on its servers.
+ */
 export interface DrainOptions {
   readonly stop: PlannedStop;
-  /** Longest time for which the signal may have waited for the process, in milliseconds; 0 when absent. */
+  /** Maximum age of the signal when it is handled, in milliseconds; 0 when absent. */
   readonly signalAgeMs?: number;
-  /** How late the process has lately been, in milliseconds; never when absent. */
-  readonly latenessMs?: () => number;
+  /** Recent event loop lag, in milliseconds; taken as 0 when absent. */
+  readonly eventLoopLagMs?: () => number;
   readonly lastArrivalAtMs: () => number;
   readonly inFlight: () => number;
-  /** Connections that are closed here and not by the other side yet; none when absent. */
+  /** Number of connections that were closed here but not by the other side yet; 0 when absent. */
   readonly lingering?: () => number;
-  /** Connections of callers on which nothing is under way and that are not closed yet; none when absent. */
+  /** Number of open connections of callers without a request in flight; 0 when absent. */
   readonly idle?: () => number;
   readonly clock: () => number;
-  /** Gives every request under way its final answer. */
+  /** Gives every request in flight its final response. */
   readonly giveUp: () => void;
-  /** Closes connections on which nothing is under way, as long as `mayClose` says so. */
+  /** Closes connections without a request in flight for as long as `mayClose` returns true. */
   readonly closeIdle: (mayClose: () => boolean) => void;
-  /** Resolves once connections to peers have sent what they had and are closed. */
+  /** Resolves once connections to peers have sent their pending data and are closed. */
   readonly closePeers: () => Promise<void>;
-  /** Closes what is still open. */
+  /** Closes all remaining connections. */
   readonly closeAll: () => void;
 }
 
-/** Resolves when the stop is over: when nothing is in flight any more, or at its bound. */
+/** Resolves when the stop is over: when nothing is in flight any more, or at its time limit. */
 export function drainServers(
   servers: readonly http.Server[],
   options: DrainOptions,
@@ -52,7 +57,7 @@
 function* runStop(
   servers: readonly http.Server[],
   options: DrainOptions,
-  done: () => void,
+  onStopped: () => void,
 ): Generator<unknown, void> {
   const { stop, clock } = options;
   const poll = new SocketPoll(clock);
@@ -61,36 +66,39 @@
       execute(effect, { servers, options, poll, handle });
     }
   };
-  let staleLooks = 0;
+  let stalePolls = 0;
   handle({ type: 'stop', signalAgeMs: options.signalAgeMs ?? 0 });
   while (stop.state !== 'closed') {
-    yield csp.timeout(Math.min(POLL_MS, Math.ceil(stop.msToNextBound(clock()))));
-    yield renewed(poll);
-    const look = lookAt(options);
-    if (poll.isCurrent || staleLooks >= MAX_STALE_LOOKS) {
-      staleLooks = 0;
-      handle(look);
+    yield csp.timeout(Math.min(POLL_INTERVAL_MS, Math.ceil(stop.msToNextBound(clock()))));
+    yield renewalOf(poll);
+    const status = readStatus(options);
+    if (poll.isCurrent || stalePolls >= MAX_STALE_POLLS) {
+      stalePolls = 0;
+      handle(status);
     } else {
-      staleLooks += 1;
+      stalePolls += 1;
     }
   }
-  done();
+  onStopped();
 }
 
-/** What a planned stop goes by, after the event loop has read what waits in the system. */
-function lookAt(options: DrainOptions): StopEvent {
-  const { inFlight, lingering, idle, lastArrivalAtMs, latenessMs } = options;
+/**
+ * Reads the state that a planned stop depends on; to be called after the event loop has read its
+ * sockets.
+ */
+function readStatus(options: DrainOptions): StopEvent {
+  const { inFlight, lingering, idle, lastArrivalAtMs, eventLoopLagMs } = options;
   return {
     type: 'look',
     inFlight: inFlight(),
     lingering: lingering?.() ?? 0,
     idle: idle?.() ?? 0,
     lastArrivalAtMs: lastArrivalAtMs(),
-    latenessMs: latenessMs?.() ?? 0,
+    eventLoopLagMs: eventLoopLagMs?.() ?? 0,
   };
 }
 
-/** What the effects of a stop are carried out with. */
+/** Context in which the effects of a stop are executed. */
 interface StopExecution {
   readonly servers: readonly http.Server[];
   readonly options: DrainOptions;
@@ -101,8 +109,8 @@
 function execute(effect: StopEffect, { servers, options, poll, handle }: StopExecution): void {
   switch (effect) {
     case 'shut-listeners':
-      void shutListeners(servers, poll).then((takenCount) =>
-        handle({ type: 'listeners-shut', takenCount }),
+      void shutListeners(servers, poll).then((acceptedCount) =>
+        handle({ type: 'listeners-shut', acceptedCount }),
       );
       return;
     case 'give-up':
@@ -121,16 +129,16 @@
   }
 }
 
-/** A channel that gets a value once the event loop has read all sockets. */
-function renewed(poll: SocketPoll): unknown {
+/** Returns a channel that receives a value once the event loop has read all sockets. */
+function renewalOf(poll: SocketPoll): unknown {
   const polled = csp.chan<true>(csp.buffers.fixed(1));
   void poll.renew().then(() => csp.offer(polled, true));
   return polled;
 }
 
 /**
- * Shuts a listener alone. `http.Server.close` would cut idle connections too, and with them a request that a
- * caller is just sending, or an answer that it has not read yet.
+ * Closes only the listener. `http.Server.close` would also close idle connections, and with them a
+ * request that a caller is just sending or a response that it has not read yet.
  */
 function shutListener(server: http.Server): void {
   if (server.listening) {
@@ -138,35 +146,36 @@
   }
 }
 
-/** Resolves with the connections that were taken before. */
+/** Resolves with the number of connections that were accepted before. */
 async function shutListeners(servers: readonly http.Server[], poll: SocketPoll): Promise<number> {
-  let takenCount = 0;
+  let acceptedCount = 0;
   for (const server of servers) {
     if (server.listening) {
-      takenCount += await takeWaitingConnections(server, poll);
+      acceptedCount += await acceptPendingConnections(server, poll);
       shutListener(server);
     }
   }
-  return takenCount;
+  return acceptedCount;
 }
 
 /**
- * Takes the connections that the system has set up and that wait to be accepted: it would reset them
- * with the listener. At least one is accepted in each whole turn of the event loop while any waits.
+ * Accepts the connections that the operating system has established and that wait to be accepted:
+ * it would reset them when the listener is closed. Each full iteration of the event loop accepts at
+ * least one while any are waiting.
  */
-async function takeWaitingConnections(server: http.Server, poll: SocketPoll): Promise<number> {
+async function acceptPendingConnections(server: http.Server, poll: SocketPoll): Promise<number> {
   let accepted = 0;
   const count = (): void => {
     accepted += 1;
   };
   server.on('connection', count);
-  let acceptedBefore: number;
+  let previouslyAccepted: number;
   let reads = 0;
   do {
-    acceptedBefore = accepted;
+    previouslyAccepted = accepted;
     await poll.renew();
     reads += 1;
-  } while ((accepted > acceptedBefore || !poll.isCurrent) && reads < MAX_ACCEPT_READS);
+  } while ((accepted > previouslyAccepted || !poll.isCurrent) && reads < MAX_ACCEPT_READS);
   server.off('connection', count);
   return accepted;
 }
--- a/test/containment/request-fingerprint.test.ts
+++ b/test/containment/request-fingerprint.test.ts
@@ -4,14 +4,14 @@
   headDigestOf,
   RequestFingerprint,
 } from '../../src/containment/request-fingerprint.js';
-import { EMPTY_BODY, HeldBody } from '../../src/proxy/request-body.js';
+import { EMPTY_BODY, BufferedBody } from '../../src/proxy/request-body.js';
 
 const CALLER_HEADER = 'caller';
 const PARTS = {
   method: 'POST',
   target: '/a/b?c=1',
   headers: ['Host', 'h.example', 'Caller', 'shop', 'Request-Id', 'one'],
-  body: new HeldBody(Buffer.from('pay')),
+  body: new BufferedBody(Buffer.from('pay')),
 };
 
 function fullDigestOf(parts: Partial<typeof PARTS>): string {
@@ -21,7 +21,7 @@
 describe('the fingerprint of a request', () => {
   it('is equal for every attempt at any machine', () => {
     const again = ['Request-Id', 'two', 'CALLER', 'shop', 'host', 'H.example:8080', 'X-Trace', '7'];
-    const body = new HeldBody(Buffer.from('pay'));
+    const body = new BufferedBody(Buffer.from('pay'));
     expect(fullDigestOf({ headers: again, body })).to.equal(fullDigestOf({}));
   });
 
@@ -34,8 +34,8 @@
       fullDigestOf({ headers: ['Host', 'i.example', 'Caller', 'shop'] }),
       fullDigestOf({ headers: ['Host', 'h.example', 'Caller', 'depot'] }),
       fullDigestOf({ headers: ['Host', 'h.example'] }),
-      fullDigestOf({ body: new HeldBody(Buffer.from('pay more')) }),
-      fullDigestOf({ body: new HeldBody(Buffer.alloc(0)) }),
+      fullDigestOf({ body: new BufferedBody(Buffer.from('pay more')) }),
+      fullDigestOf({ body: new BufferedBody(Buffer.alloc(0)) }),
     ];
     expect(new Set(all)).to.have.property('size', all.length);
   });
@@ -56,7 +56,7 @@
   it('starts with the head digest, which does not depend on the body', () => {
     const one = new RequestFingerprint(PARTS, CALLER_HEADER);
     expect(headDigestOf(one.fullDigest)).to.equal(one.headDigest);
-    expect(headDigestOf(fullDigestOf({ body: new HeldBody(Buffer.from('other')) }))).to.equal(
+    expect(headDigestOf(fullDigestOf({ body: new BufferedBody(Buffer.from('other')) }))).to.equal(
       one.headDigest,
     );
     expect(one.fullDigest).to.match(/^[0-9a-f]{40}$/);
@@ -65,7 +65,7 @@
   it('differs with the caller only in its last digits', () => {
     const other = fullDigestOf({ headers: ['Host', 'h.example', 'Caller', 'depot'] });
     expect(withoutCaller(other)).to.equal(withoutCaller(fullDigestOf({})));
-    const body = new HeldBody(Buffer.from('other'));
+    const body = new BufferedBody(Buffer.from('other'));
     expect(withoutCaller(fullDigestOf({ body }))).not.to.equal(withoutCaller(fullDigestOf({})));
   });
 
--- a/test/proxy/relay/relayed-bodies.test.ts
+++ b/test/proxy/relay/relayed-bodies.test.ts
@@ -1,10 +1,10 @@
 /**
- * Bodies of many lengths that cross relay connections while requests are aborted, connections die and
- * senders are slow. Each request gets one outcome, its body reaches the endpoint unchanged and at most
- * once, what is said not to have run has not been begun, and no credit is left behind.
+ * Bodies of many lengths sent over relay connections while requests are aborted, connections are closed and senders
+ * are slow. Each request has exactly one outcome, its body reaches the endpoint unchanged and at most once, a request
+ * reported as not run was never started, and no credit is leaked.
  *
- * The last test shows what happens to bodies that come together: admission by the head does not count
- * those that are on their way, so all are carried, and all but a few are refused after that.
+ * The last test guards against admission that ignores the bodies in flight: all of several simultaneous bodies would
+ * be transferred, and all but a few of them refused afterwards.
  */
 import { createHash } from 'node:crypto';
 import { once } from 'node:events';
@@ -15,7 +15,7 @@
 import type { Endpoint } from '../../../src/model/resource.js';
 import type { Attempt, Call } from '../../../src/proxy/call.js';
 import { RelayClient } from '../../../src/proxy/relay/relay-client.js';
-import { HeldBody, StreamedBody, type RequestBody } from '../../../src/proxy/request-body.js';
+import { BufferedBody, StreamedBody, type RequestBody } from '../../../src/proxy/request-body.js';
 import { MACHINE_TIME } from '../../../src/proxy/scheduler.js';
 import { echoEndpoint, echoService, seededRandom, TestMesh, type TestNode } from '../rig.js';
 import { NarrowLink } from './narrow-link.js';
@@ -24,7 +24,7 @@
   0, 1, 4_095, 4_096, 4_097, 16_384, 60_000, 65_535, 65_536, 65_537, 262_143, 262_144, 262_145,
   400_000,
 ];
-const REQUESTS = 60;
+const REQUEST_COUNT = 60;
 const MAX_BYTES = 64 * 1024 * 1024;
 
 type Form = 'held' | 'sized' | 'chunked' | 'short' | 'stalled';
@@ -40,7 +40,7 @@
   wasUnsentAtAbort: boolean;
 }
 
-/** A body that comes from a slow sender, which may break off or stop sending. */
+/** A body from a slow sender, which may abort the body or stop sending. */
 function slowBody(form: Form, bytes: Buffer, random: () => number): RequestBody {
   const source = Object.assign(new PassThrough(), { complete: false });
   const sentBytes =
@@ -66,29 +66,29 @@
   return new StreamedBody(source, form === 'chunked' ? undefined : bytes.length, [], MAX_BYTES);
 }
 
-describe('bodies that cross relay connections', () => {
+describe('bodies sent over relay connections', () => {
   const mesh = new TestMesh();
   const clients: RelayClient[] = [];
   const links: NarrowLink[] = [];
-  /** Digests of the bodies that the endpoint got whole, and requests that it began, by name. */
-  const whole = new Map<string, string[]>();
-  const begun = new Map<string, number>();
-  let isSilent = false;
+  /** Digests of the bodies that the endpoint received completely, and start counts, by request ID. */
+  const receivedDigests = new Map<string, string[]>();
+  const startCounts = new Map<string, number>();
+  let isUnresponsive = false;
   let node: TestNode;
   let server: http.Server;
 
   beforeEach(async () => {
-    isSilent = false;
-    whole.clear();
-    begun.clear();
+    isUnresponsive = false;
+    receivedDigests.clear();
+    startCounts.clear();
     server = http.createServer((request, response) => {
       const id = String(request.headers['x-id']);
-      begun.set(id, (begun.get(id) ?? 0) + 1);
+      startCounts.set(id, (startCounts.get(id) ?? 0) + 1);
       const hash = createHash('sha1');
       request.on('data', (chunk: Buffer) => hash.update(chunk));
       request.on('end', () => {
-        whole.set(id, [...(whole.get(id) ?? []), hash.digest('hex')]);
-        if (!isSilent) {
+        receivedDigests.set(id, [...(receivedDigests.get(id) ?? []), hash.digest('hex')]);
+        if (!isUnresponsive) {
           setTimeout(() => response.end('ran'), 5);
         }
       });
@@ -131,14 +131,14 @@
     return [client, link];
   }
 
-  function callOf(id: string, body: RequestBody, leftMs: number): Call {
+  function callOf(id: string, body: RequestBody, timeoutMs: number): Call {
     return {
       requestId: id,
       method: 'POST',
       target: '/',
       headers: ['Host', 'a', 'x-id', id],
       body,
-      deadlineAtMs: performance.now() + leftMs,
+      deadlineAtMs: performance.now() + timeoutMs,
       callerNode: 'n1',
       retriesLeft: 0,
       priority: Number(id.length % 2),
@@ -146,23 +146,25 @@
     };
   }
 
-  /** What is wrong with the end of a request. */
-  function faultsOf(run: Run): string[] {
+  /** Violations of the guarantees for the outcome of a request. */
+  function violationsOf(run: Run): string[] {
     const name = `${run.id} ${run.form} ${run.bytes.length} [${run.outcomes.join()}]`;
     const digest = createHash('sha1').update(run.bytes).digest('hex');
-    const got = whole.get(run.id) ?? [];
-    const faults: string[] = [];
+    const digests = receivedDigests.get(run.id) ?? [];
+    const violations: string[] = [];
     if (run.outcomes.length !== (run.isAborted ? 0 : 1)) {
-      faults.push(`${name}: ${run.isAborted ? 'aborted, ' : ''}${run.outcomes.length} outcomes`);
+      violations.push(
+        `${name}: ${run.isAborted ? 'aborted, ' : ''}${run.outcomes.length} outcomes`,
+      );
     }
-    if (got.length > 1 || got.some((one) => one !== digest)) {
-      faults.push(`${name}: body came ${got.length} times or changed`);
+    if (digests.length > 1 || digests.some((one) => one !== digest)) {
+      violations.push(`${name}: body received ${digests.length} times or changed`);
     }
-    const isToldNotRun = run.outcomes.some((outcome) => outcome.endsWith(' not-run'));
-    if ((isToldNotRun || run.wasUnsentAtAbort) && begun.has(run.id)) {
-      faults.push(`${name}: was begun`);
+    const isReportedNotRun = run.outcomes.some((outcome) => outcome.endsWith(' not-run'));
+    if ((isReportedNotRun || run.wasUnsentAtAbort) && startCounts.has(run.id)) {
+      violations.push(`${name}: was started`);
     }
-    return faults;
+    return violations;
   }
 
   function openBodies(): number {
@@ -171,7 +173,7 @@
   }
 
   for (const seed of [1, 2]) {
-    it(`have one true outcome each, seed ${seed}`, async () => {
+    it(`have one correct outcome each, seed ${seed}`, async () => {
       const random = seededRandom(seed);
       const pick = <T>(values: readonly T[]): T =>
         values[Math.floor(random() * values.length)] as T;
@@ -181,10 +183,10 @@
         peers.push(await addPeer(`p${count}`, 2_000));
       }
       const runs: Run[] = [];
-      for (let count = 0; count < REQUESTS; count += 1) {
+      for (let count = 0; count < REQUEST_COUNT; count += 1) {
         const bytes = Buffer.alloc(pick(LENGTHS), `${count}-`);
         const form = bytes.length === 0 ? 'held' : pick(FORMS);
-        const body = form === 'held' ? new HeldBody(bytes) : slowBody(form, bytes, random);
+        const body = form === 'held' ? new BufferedBody(bytes) : slowBody(form, bytes, random);
         const run: Run = {
           id: `r${seed}-${count}`,
           form,
@@ -204,40 +206,40 @@
           },
           failed: (error) => run.outcomes.push(`${error.code} ${error.verdict}`),
         });
-        const act = random();
+        const choice = random();
         setTimeout(() => {
-          if (act < 0.25 && run.outcomes.length === 0) {
+          if (choice < 0.25 && run.outcomes.length === 0) {
             run.isAborted = true;
             run.wasUnsentAtAbort = run.attempt?.isUnsent() === true;
             run.attempt?.abort();
-          } else if (act > 0.97) {
+          } else if (choice > 0.97) {
             link.cut();
           }
         }, random() * 300);
         await new Promise((resolve) => setTimeout(resolve, random() * 10));
       }
       await new Promise((resolve) => setTimeout(resolve, 2_500));
-      const faults = runs.flatMap((run) => faultsOf(run));
-      expect(faults).to.deep.equal([]);
+      const violations = runs.flatMap((run) => violationsOf(run));
+      expect(violations).to.deep.equal([]);
       runs.forEach((run) => run.attempt?.abort());
       await new Promise((resolve) => setTimeout(resolve, 200));
       expect(openBodies()).to.equal(0);
     });
   }
 
-  it('are not carried when they come together for an endpoint that has no room for them', async () => {
-    isSilent = true;
+  it('are not transferred if they are sent simultaneously to an endpoint without capacity', async () => {
+    isUnresponsive = true;
     const endpoint = configure(1);
     const [client, link] = await addPeer('p', 875);
     const outcomes: string[] = [];
     for (let count = 0; count < 20; count += 1) {
-      client.submit(endpoint, callOf(`u${count}`, new HeldBody(Buffer.alloc(60_000)), 3_000), {
+      client.submit(endpoint, callOf(`u${count}`, new BufferedBody(Buffer.alloc(60_000)), 3_000), {
         answered: () => outcomes.push('answered'),
         failed: ({ code, verdict }) => outcomes.push(`${code} ${verdict}`),
       });
     }
     await new Promise((resolve) => setTimeout(resolve, 2_500));
-    // One slot and two places to wait; a few more may be on their way.
+    // One slot and two queue places; a few more bodies may be in flight.
     expect(link.carriedBytes, outcomes.join()).to.be.lessThan(8 * 60_000);
   });
 });
