--- a/src/dissemination/snapshot-server.ts
+++ b/src/dissemination/snapshot-server.ts
@@ -1,6 +1,7 @@
 /**
- * Answers fetches: by a delta where history allows and it is smaller, else by the whole document in
- * paced chunks. Only a few transfers run at once; further fetches are refused for a while.
+ * Answers fetches: with a delta if the history allows it and it is smaller, else with the full
+ * document in paced chunks. The number of concurrent transfers is limited; further fetches are
+ * refused with a retry delay.
  */
 import type { ControlEffect, CounterSink, RandomSource } from '../control/control-event.js';
 import { CONTROL_COUNTERS } from '../control/control-counters.js';
@@ -10,11 +11,11 @@
 import { MAX_CHUNK_BYTES } from './document-parts.js';
 import type { DocumentStore } from './document-store.js';
 
-/** Snapshot transfers served at once. */
+/** Maximum number of concurrent snapshot transfers. */
 export const MAX_CONCURRENT_TRANSFERS = 4;
-/** Time between two chunks of one transfer, in milliseconds. */
+/** Interval between two chunks of one transfer, in milliseconds. */
 export const CHUNK_INTERVAL_MS = 20;
-/** Bounds of the time after which a refused peer may ask again, in milliseconds. */
+/** Bounds of the random delay after which a refused peer may retry, in milliseconds. */
 const MIN_RETRY_AFTER_MS = 50;
 const MAX_RETRY_AFTER_MS = 250;
 
@@ -24,10 +25,10 @@
   readonly version: DocumentVersion;
   readonly chunks: readonly (readonly DocumentEntry[])[];
   nextIndex: number;
-  dueAt: number;
+  nextChunkAt: number;
 }
 
-/** The serving side of all documents. */
+/** Serves fetches of all documents. */
 export class SnapshotServer {
   private transfers: Transfer[] = [];
 
@@ -38,7 +39,7 @@
     private readonly maxTransfers = MAX_CONCURRENT_TRANSFERS,
   ) {}
 
-  /** Transfers that run now. */
+  /** Number of running transfers. */
   get activeTransfers(): number {
     return this.transfers.length;
   }
@@ -47,12 +48,11 @@
   nextWakeAt(): number {
     let earliest = Infinity;
     for (const transfer of this.transfers) {
-      earliest = Math.min(earliest, transfer.dueAt);
+      earliest = Math.min(earliest, transfer.nextChunkAt);
     }
     return earliest;
   }
 
-  /** Answers a fetch. */
   serve(from: string, message: FetchMessage, nowMs: number, effects: ControlEffect[]): void {
     const held = this.store.held(message.document);
     if (!isNewer(held.version, message.have)) {
@@ -68,7 +68,9 @@
       effects.push({ type: 'send', to: from, message: delta });
       return;
     }
-    this.removeTransfers((one) => one.peerId === from && one.document === message.document);
+    this.removeTransfers(
+      (transfer) => transfer.peerId === from && transfer.document === message.document,
+    );
     if (this.transfers.length >= this.maxTransfers) {
       this.refuse(from, message.document, effects);
       return;
@@ -80,7 +82,7 @@
       version: held.version,
       chunks: parts.chunks,
       nextIndex: 0,
-      dueAt: nowMs,
+      nextChunkAt: nowMs,
     };
     this.transfers.push(transfer);
     sendChunk(transfer, nowMs, effects);
@@ -89,16 +91,16 @@
   /** Sends the chunks that are due; a transfer ends one interval after its last chunk. */
   wake(nowMs: number, effects: ControlEffect[]): void {
     for (const transfer of this.transfers) {
-      if (nowMs >= transfer.dueAt) {
+      if (nowMs >= transfer.nextChunkAt) {
         sendChunk(transfer, nowMs, effects);
       }
     }
-    this.removeTransfers((one) => one.nextIndex > one.chunks.length);
+    this.removeTransfers((transfer) => transfer.nextIndex > transfer.chunks.length);
   }
 
   /** Ends the transfers to a peer whose link closed. */
   removePeer(peerId: string): void {
-    this.removeTransfers((one) => one.peerId === peerId);
+    this.removeTransfers((transfer) => transfer.peerId === peerId);
   }
 
   private refuse(to: string, document: DocumentName, effects: ControlEffect[]): void {
@@ -108,14 +110,14 @@
     effects.push({ type: 'send', to, message: { type: 'fetch-refused', document, retryAfterMs } });
   }
 
-  private removeTransfers(isOver: (transfer: Transfer) => boolean): void {
+  private removeTransfers(shouldRemove: (transfer: Transfer) => boolean): void {
     if (this.transfers.length > 0) {
-      this.transfers = this.transfers.filter((transfer) => !isOver(transfer));
+      this.transfers = this.transfers.filter((transfer) => !shouldRemove(transfer));
     }
   }
 }
 
-/** Sends the next chunk; past the last one it only marks the transfer as over. */
+/** Sends the next chunk; after the last one, only marks the transfer as finished. */
 function sendChunk(transfer: Transfer, nowMs: number, effects: ControlEffect[]): void {
   const entries = transfer.chunks[transfer.nextIndex];
   if (entries !== undefined) {
@@ -133,5 +135,5 @@
     });
   }
   transfer.nextIndex += 1;
-  transfer.dueAt = nowMs + CHUNK_INTERVAL_MS;
+  transfer.nextChunkAt = nowMs + CHUNK_INTERVAL_MS;
 }
