--- a/src/peers/feed-delta.ts
+++ b/src/peers/feed-delta.ts
@@ -55,7 +55,7 @@
 }
 
 function patched(replica: StoreReplica, change: StoreChange, sinceRevision: number): FeedChange {
-  const before = replica.versionBefore(change.key);
+  const before = replica.previousVersion(change.key);
   const isHeld = before !== undefined && before.revision <= sinceRevision;
   if (!isHeld || before.value === undefined || change.value === undefined) {
     return change;
--- a/src/peers/peer-exchange.ts
+++ b/src/peers/peer-exchange.ts
@@ -190,7 +190,7 @@
     }
     const delta = resolveFeedDelta(replica, told);
     this.needsWhole = delta === undefined;
-    if (delta !== undefined && replica.takeDelta(delta)) {
+    if (delta !== undefined && replica.applyDelta(delta)) {
       onLearned(from);
     }
   }
--- a/src/runtime/replica-source.ts
+++ b/src/runtime/replica-source.ts
@@ -138,7 +138,7 @@
       replica,
       random,
       watchWaitMs: WATCH_WAIT_MS,
-      onLearned: (hasChanged) => {
+      onUpdate: (hasChanged) => {
         this.isStoreAnswering = true;
         this.choice.storeAnswered(MACHINE_CLOCK.now());
         this.learned(hasChanged, FROM_STORE);
@@ -183,7 +183,7 @@
       return;
     }
     const { revision } = replica;
-    const hasChanged = delta !== undefined && replica.takeDelta(delta);
+    const hasChanged = delta !== undefined && replica.applyDelta(delta);
     const isConfirmed = this.choice.feedHeard(peer, message, MACHINE_CLOCK.now());
     if (isConfirmed || hasChanged || replica.revision > revision) {
       this.learned(hasChanged, { path: 'feed', peer });
--- a/src/source/candidate-policies.ts
+++ b/src/source/candidate-policies.ts
@@ -1,7 +1,7 @@
 /**
- * When a node seeks which lease. Every node may become a reader, yet only a few ask: the electors,
- * who see when a grant runs out, and the others at intervals that grow with their rank, so that the
- * requests of a zone of n nodes add up to about ln(n) for each interval of the first.
+ * Policies that decide when a node requests which lease. Every node may become a reader, but only a few send
+ * requests: electors, which know when a grant expires, and other nodes at intervals that grow with their rank,
+ * so that the n nodes of a zone send about ln(n) requests per request interval of the first-ranked node.
  */
 import type { RandomSource } from '../control/control-event.js';
 import type { Elector } from './elector.js';
@@ -9,21 +9,24 @@
 import { RECOVERY_SLOT } from './lease-terms.js';
 import type { CandidatePolicy } from './lease-candidate.js';
 
-/** Time between two requests of the first node that is no elector, in milliseconds. */
-export const ASK_INTERVAL_MS = 4_000;
-/** Jitter before electors take over a free slot, for each rank, in milliseconds. */
+/** Interval between two requests of the first-ranked node that is not an elector, in milliseconds. */
+export const REQUEST_INTERVAL_MS = 4_000;
+/** Maximum jitter per rank before electors request a free slot, in milliseconds. */
 export const TAKEOVER_JITTER_MS = 500;
-/** Without a sign of a reader for this long, the recovery slot is sought, in milliseconds. */
+/** Time without evidence of a reader after which the recovery slot is requested, in milliseconds. */
 export const RECOVERY_AFTER_MS = 30_000;
-/** Rounds that must have failed as well before the recovery slot is sought. */
+/** Number of rounds that must also have failed before the recovery slot is requested. */
 export const RECOVERY_AFTER_FAILURES = 3;
-/** Leases for which the recovery slot is kept once it is no longer needed: electors get ready. */
+/**
+ * Lease durations for which the recovery slot is kept after it is no longer needed, so that the zone's electors
+ * have time to start granting.
+ */
 export const RECOVERY_HOLD_DURATIONS = 4;
 
 const FIRST_BACKOFF_MS = 250;
 const MAX_BACKOFF_DOUBLINGS = 4;
 
-/** What both policies decide from. */
+/** Inputs shared by both policies. */
 export interface PolicyContext {
   readonly electorate: Electorate;
   readonly elector: Elector;
@@ -31,61 +34,64 @@
   readonly durationMs: number;
 }
 
-/** Whether some reader of the own zone was heard of. */
+/** Tracks evidence of a reader in this node's zone. */
 export class ReaderEvidence {
-  private seenAtMs = -Infinity;
-  private failuresWhenSeen = 0;
+  private lastSeenAtMs = -Infinity;
+  private failuresAtLastSeen = 0;
 
-  /** A reader works, or will soon. */
-  note(failures: number, nowMs: number): void {
-    this.seenAtMs = nowMs;
-    this.failuresWhenSeen = failures;
+  /** Records that a reader is active, or will be soon. */
+  recordReader(failures: number, nowMs: number): void {
+    this.lastSeenAtMs = nowMs;
+    this.failuresAtLastSeen = failures;
   }
 
-  /** Whether there has been no sign for long, although this node kept asking. */
+  /** Whether there has been no evidence of a reader for a long time although this node kept sending requests. */
   isMissing(failures: number, nowMs: number): boolean {
-    const failed = failures - this.failuresWhenSeen;
-    return nowMs - this.seenAtMs >= RECOVERY_AFTER_MS && failed >= RECOVERY_AFTER_FAILURES;
+    const failed = failures - this.failuresAtLastSeen;
+    return nowMs - this.lastSeenAtMs >= RECOVERY_AFTER_MS && failed >= RECOVERY_AFTER_FAILURES;
   }
 }
 
-/** Common part: a pause, and delays by rank. */
+/** Base class with a pause and rank-dependent delays. */
 abstract class RankedPolicy implements CandidatePolicy {
-  private restsUntilMs = -Infinity;
+  private pausedUntilMs = -Infinity;
 
   constructor(protected readonly context: PolicyContext) {}
 
   abstract electors(): readonly ElectorTarget[];
   abstract wantedSlot(nowMs: number): string | undefined;
-  abstract keeps(nowMs: number): boolean;
+  abstract shouldKeep(nowMs: number): boolean;
   protected abstract slots(): readonly string[];
   protected abstract rank(): number;
   protected abstract isElector(): boolean;
 
-  /** Seeks and keeps nothing until then, so that another node takes over. */
-  rest(untilMs: number): void {
-    this.restsUntilMs = untilMs;
+  /** Requests and keeps no lease until `untilMs`, so that another node can take over. */
+  pauseUntil(untilMs: number): void {
+    this.pausedUntilMs = untilMs;
   }
 
   delayMs(failures: number, nowMs: number): number {
     if (this.context.electorate.slots.length === 0 || this.electors().length === 0) {
       return Infinity;
     }
-    const restMs = Math.max(0, this.restsUntilMs - nowMs);
-    return restMs + (this.isElector() ? this.electorDelayMs(failures, nowMs) : this.askDelayMs());
+    const remainingPauseMs = Math.max(0, this.pausedUntilMs - nowMs);
+    return (
+      remainingPauseMs +
+      (this.isElector() ? this.electorDelayMs(failures, nowMs) : this.requestDelayMs())
+    );
   }
 
-  protected isResting(nowMs: number): boolean {
-    return nowMs < this.restsUntilMs;
+  protected isPaused(nowMs: number): boolean {
+    return nowMs < this.pausedUntilMs;
   }
 
-  /** Slots that this node, as an elector, has not granted; all of them on other nodes. */
+  /** Slots without a grant from this node's elector; all slots if this node is not an elector. */
   protected freeSlots(nowMs: number): string[] {
     return this.slots().filter((slot) => this.context.elector.grantedUntilMs(slot) <= nowMs);
   }
 
-  private askDelayMs(): number {
-    return ASK_INTERVAL_MS * (1 + this.rank()) * (0.5 + this.context.random());
+  private requestDelayMs(): number {
+    return REQUEST_INTERVAL_MS * (1 + this.rank()) * (0.5 + this.context.random());
   }
 
   private electorDelayMs(failures: number, nowMs: number): number {
@@ -101,19 +107,19 @@
   }
 }
 
-/** Seeks a slot of the own zone's share. */
+/** Requests a slot from the share of this node's zone. */
 export class ZonePolicy extends RankedPolicy {
   electors(): readonly ElectorTarget[] {
     return this.context.electorate.zoneElectors;
   }
 
   wantedSlot(nowMs: number): string | undefined {
-    const free = this.isResting(nowMs) ? [] : this.freeSlots(nowMs);
+    const free = this.isPaused(nowMs) ? [] : this.freeSlots(nowMs);
     return free[Math.floor(this.context.random() * free.length)];
   }
 
-  keeps(nowMs: number): boolean {
-    return !this.isResting(nowMs);
+  shouldKeep(nowMs: number): boolean {
+    return !this.isPaused(nowMs);
   }
 
   protected slots(): readonly string[] {
@@ -130,19 +136,22 @@
 }
 
 /**
- * Seeks the recovery slot: while no machine list is held, when its holder ends before the own zone's
- * electors grant anything, and when these have given no lease for long, as when most of them died at
- * once.
+ * Requests the recovery slot in three cases: no machine list is known; the holder of the recovery slot exits
+ * before the zone's electors start granting; or the zone's electors have granted no lease for a long time, for
+ * example because most of them failed at once.
  */
 export class RecoveryPolicy extends RankedPolicy {
   private keptUntilMs = -Infinity;
 
-  /** `zoneFailures` counts failed rounds for the zone's slots; `holdsZone`: one of them is held. */
+  /**
+   * `zoneFailures` returns the number of failed rounds for the zone's slots, `holdsZoneSlot` whether this node
+   * holds one of them.
+   */
   constructor(
     context: PolicyContext,
     private readonly evidence: ReaderEvidence,
     private readonly zoneFailures: () => number,
-    private readonly holdsZone: (nowMs: number) => boolean,
+    private readonly holdsZoneSlot: (nowMs: number) => boolean,
   ) {
     super(context);
   }
@@ -152,12 +161,12 @@
   }
 
   wantedSlot(nowMs: number): string | undefined {
-    const isWanted = !this.isResting(nowMs) && this.isNeeded(nowMs);
+    const isWanted = !this.isPaused(nowMs) && this.isNeeded(nowMs);
     return isWanted ? this.freeSlots(nowMs)[0] : undefined;
   }
 
-  keeps(nowMs: number): boolean {
-    if (this.isResting(nowMs) || this.holdsZone(nowMs)) {
+  shouldKeep(nowMs: number): boolean {
+    if (this.isPaused(nowMs) || this.holdsZoneSlot(nowMs)) {
       return false;
     }
     if (this.isNeeded(nowMs)) {
@@ -180,23 +189,23 @@
 
   private isNeeded(nowMs: number): boolean {
     const { electorate, elector } = this.context;
-    if (electorate.isCold()) {
+    if (electorate.hasNoMachines()) {
       return true;
     }
     if (electorate.slots.some((slot) => elector.isEstablished(slot, nowMs))) {
       return false;
     }
-    return this.isYoungFleet(nowMs) || this.evidence.isMissing(this.zoneFailures(), nowMs);
+    return this.isNewFleet(nowMs) || this.evidence.isMissing(this.zoneFailures(), nowMs);
   }
 
   /**
-   * Whether the zone's electors do not grant yet, while the recovery slot, as this node knows from
-   * its own grants, was in use until now or until lately: its holder was the only reader.
+   * Whether the zone's electors are not granting yet while, according to this node's own grants, the recovery
+   * slot is or was recently in use. Its holder was then the only reader.
    */
-  private isYoungFleet(nowMs: number): boolean {
+  private isNewFleet(nowMs: number): boolean {
     const { electorate, elector, durationMs } = this.context;
-    const grantedLatelyMs = ENTRY_GUARD_DURATIONS * durationMs;
-    const wasInUse = nowMs < elector.grantedUntilMs(RECOVERY_SLOT) + grantedLatelyMs;
-    return wasInUse && electorate.isEntering(nowMs);
+    const recentUseMs = ENTRY_GUARD_DURATIONS * durationMs;
+    const wasInUse = nowMs < elector.grantedUntilMs(RECOVERY_SLOT) + recentUseMs;
+    return wasInUse && electorate.isInEntryGuard(nowMs);
   }
 }
--- a/src/source/elector.ts
+++ b/src/source/elector.ts
@@ -1,7 +1,7 @@
 /**
- * The granting side of reader leases. A grant binds the elector for the lease's duration from when
- * it answers; until then it grants the slot to nobody else. It holds this in memory only, so a
- * restarted elector must let its former grants run out: see `guardedUntilMs`.
+ * The granting side of reader leases. A grant binds the elector for the lease duration, starting when it
+ * answers; during that time it grants the slot to no other node. Grants are held in memory only, so a restarted
+ * elector must wait until its earlier grants have expired (see `guardedUntilMs`).
  */
 import type { PeerIdentity } from '../membership/peer-identity.js';
 import type {
@@ -15,25 +15,25 @@
 interface Grant {
   readonly holderId: string;
   readonly holderIncarnation: number;
-  /** When the holder first had it without a gap. */
-  readonly sinceMs: number;
+  /** Start of the holder's uninterrupted sequence of grants. */
+  readonly heldSinceMs: number;
   /** Highest round granted. */
   readonly round: number;
   readonly expiresAtMs: number;
-  /** Rounds up to this one were given back: late requests of them are refused. */
+  /** Rounds up to this one have been released; late requests from them are refused. */
   readonly releasedRound: number;
 }
 
-/** Grants leases of slots, each to one holder at a time. */
+/** Grants leases on slots, each to one holder at a time. */
 export class Elector {
   private readonly grants = new Map<string, Grant>();
 
-  /** `durationMs` is the longest lease that is granted. */
+  /** `durationMs` is the longest lease duration that is granted. */
   constructor(private readonly durationMs: number) {}
 
   /**
-   * Decides on a request. Before `guardedUntilMs` only a holder known here may renew; Infinity where
-   * this node is no elector of the slot.
+   * Grants or refuses a request. Before `guardedUntilMs`, only the holder of a grant in force may renew it;
+   * Infinity means that this node is not an elector of the slot.
    */
   request(
     from: PeerIdentity,
@@ -42,15 +42,15 @@
     nowMs: number,
   ): LeaseAnswerMessage {
     const grant = this.grants.get(request.slot);
-    const retryAfterMs = this.refusal(from, request, grant, guardedUntilMs, nowMs);
+    const retryAfterMs = this.retryDelayMs(from, request, grant, guardedUntilMs, nowMs);
     if (retryAfterMs !== undefined) {
       return answer(request, false, Math.min(Math.ceil(retryAfterMs), 2 * this.durationMs));
     }
-    this.grants.set(request.slot, renewed(grant, from, request, nowMs));
+    this.grants.set(request.slot, grantFor(grant, from, request, nowMs));
     return answer(request, true, 0);
   }
 
-  /** Frees the slot when `release` covers every grant that its sender has here. */
+  /** Frees the slot if `release` covers every grant that this elector has given its sender. */
   release(from: PeerIdentity, release: LeaseReleaseMessage, nowMs: number): void {
     const grant = this.grants.get(release.slot);
     if (grant === undefined || !isHeldBy(grant, from) || !coversGrant(release, grant)) {
@@ -63,28 +63,28 @@
     });
   }
 
-  /** The clock was advanced by so much although no time passed: grants end that much later. */
+  /** Extends all grants by `byMs`, after the clock was set forward by that amount. */
   postpone(byMs: number): void {
     for (const [slot, grant] of this.grants) {
-      const { sinceMs, expiresAtMs } = grant;
-      const postponed = { sinceMs: sinceMs + byMs, expiresAtMs: expiresAtMs + byMs };
+      const { heldSinceMs, expiresAtMs } = grant;
+      const postponed = { heldSinceMs: heldSinceMs + byMs, expiresAtMs: expiresAtMs + byMs };
       this.grants.set(slot, { ...grant, ...postponed });
     }
   }
 
-  /** When the grant of the slot ends, as known here; a past time when there is none in force. */
+  /** Expiry of this elector's grant of the slot; a time in the past if none is in force. */
   grantedUntilMs(slot: string): number {
     return this.grants.get(slot)?.expiresAtMs ?? -Infinity;
   }
 
-  /** Whether a grant of the slot is in force and was renewed: its holder won a majority. */
+  /** Whether a grant of the slot is in force and has been renewed, which shows that its holder won a majority. */
   isEstablished(slot: string, nowMs: number): boolean {
     const grant = this.grants.get(slot);
     return grant !== undefined && nowMs < grant.expiresAtMs && wasRenewed(grant, nowMs);
   }
 
-  /** Why a request is refused, as the time until it may be granted; undefined: it is granted. */
-  private refusal(
+  /** Time after which a refused request may be retried; undefined if the request is granted. */
+  private retryDelayMs(
     from: PeerIdentity,
     request: LeaseRequestMessage,
     grant: Grant | undefined,
@@ -100,14 +100,14 @@
     }
     const isInForce = grant !== undefined && nowMs < grant.expiresAtMs;
     if (isInForce && !isOwnGrant) {
-      // A grant that was never renewed may belong to a round that fails and is given back.
+      // A grant that was never renewed may belong to a round that fails and is released soon.
       return wasRenewed(grant, nowMs) ? grant.expiresAtMs - nowMs : ROUND_TIMEOUT_MS;
     }
     return nowMs < guardedUntilMs && !isInForce ? guardedUntilMs - nowMs : undefined;
   }
 }
 
-/** Whether a release covers all that its sender was granted; a late one does not. */
+/** Whether a release covers the latest grant to its sender; a delayed release does not. */
 function coversGrant(release: LeaseReleaseMessage, grant: Grant): boolean {
   return release.round >= grant.round;
 }
@@ -117,10 +117,10 @@
 }
 
 function wasRenewed(grant: Grant, nowMs: number): boolean {
-  return nowMs - grant.sinceMs > 2 * ROUND_TIMEOUT_MS;
+  return nowMs - grant.heldSinceMs > 2 * ROUND_TIMEOUT_MS;
 }
 
-function renewed(
+function grantFor(
   grant: Grant | undefined,
   from: PeerIdentity,
   request: LeaseRequestMessage,
@@ -128,13 +128,13 @@
 ): Grant {
   const expiresAtMs = nowMs + request.durationMs;
   const own = grant !== undefined && isHeldBy(grant, from) ? grant : undefined;
-  const isUnbroken = own !== undefined && nowMs < own.expiresAtMs;
+  const isContinuous = own !== undefined && nowMs < own.expiresAtMs;
   return {
     holderId: from.id,
     holderIncarnation: from.incarnation,
-    sinceMs: isUnbroken ? own.sinceMs : nowMs,
+    heldSinceMs: isContinuous ? own.heldSinceMs : nowMs,
     round: Math.max(own?.round ?? 0, request.round),
-    expiresAtMs: Math.max(isUnbroken ? own.expiresAtMs : 0, expiresAtMs),
+    expiresAtMs: Math.max(isContinuous ? own.expiresAtMs : 0, expiresAtMs),
     releasedRound: own?.releasedRound ?? -1,
   };
 }
--- a/src/source/electorate.ts
+++ b/src/source/electorate.ts
@@ -1,12 +1,12 @@
 /**
- * Who grants which lease, as this node sees it.
+ * Determines which nodes grant which lease, according to this node's machine list.
  *
- * A zone's slots: the zone's five oldest machines on the held list. Two lists differ in machines
- * that are dead (gone from the newer one) and in younger machines, so of two majorities either both
- * contain a common live elector, or one has an elector that is new to the set. The latter waits for
- * `ENTRY_GUARD_DURATIONS` leases, by when leases granted by the dead have run out.
+ * The electors of a zone's slots are the five oldest machines of the zone on the list. Two lists differ only in
+ * dead machines (absent from the newer list) and in younger machines. Of two majorities, therefore, either both
+ * contain the same live elector, or one contains an elector that is new to the set. A new elector waits for
+ * `ENTRY_GUARD_DURATIONS` lease durations, after which leases granted by dead electors have expired.
  *
- * The recovery slot: the seeds, which stand in the settings of every node.
+ * The electors of the recovery slot are the seeds, which are in the settings of every node.
  */
 import type { ElectorateView } from '../control/control-ports.js';
 import { addressKey, isTarget, type LinkTarget } from '../control/target-links.js';
@@ -15,20 +15,19 @@
 import { MAX_ELECTORS, RECOVERY_SLOT, zoneSlots, type ReaderShares } from './lease-terms.js';
 
 /**
- * Leases for which an elector that is new to its zone's set grants nothing: one for the leases
- * granted by those whom it replaces, one for holders that learn of the new list later than it did.
+ * Lease durations for which an elector that is new to its zone's set grants nothing: one for leases granted by
+ * the electors that it replaces, one for holders that receive the new list later than this elector.
  */
 export const ENTRY_GUARD_DURATIONS = 2;
-/** Rank of a node that no list and no seed names. */
+/** Minimum rank of a node that is not on the machine list. */
 const UNKNOWN_RANK = 32;
 
-/** One elector, and where it listens. */
+/** One elector and its control address. */
 export interface ElectorTarget extends LinkTarget {
-  /** Names the elector in a round: the machine's identity, or the seed's address and port. */
+  /** Identifies the elector within a round: the machine's identity, or the seed's address and port. */
   readonly key: string;
 }
 
-/** What the electorate is made from. */
 export interface ElectorateOptions {
   readonly view: ElectorateView;
   readonly seeds: readonly PeerAddress[];
@@ -36,17 +35,17 @@
   readonly durationMs: number;
 }
 
-/** This node's view of the electors; `refresh` follows the machine list. */
+/** This node's view of the electors; `refresh` updates it from the machine list. */
 export class Electorate {
-  /** Slots of the own zone's share. */
+  /** Slots in the share of this node's zone. */
   readonly slots: readonly string[];
   /** Electors of the recovery slot. */
   readonly recoveryElectors: readonly ElectorTarget[];
-  /** Electors of the own zone's slots; empty while no list names any. */
+  /** Electors of the slots of this node's zone; empty while the machine list has none. */
   zoneElectors: readonly ElectorTarget[] = [];
   private machines: readonly Machine[] | undefined;
   private startedAtMs = Infinity;
-  /** Since when this node is an elector of its zone; Infinity while it is not. */
+  /** Time at which this node became an elector of its zone; Infinity while it is not one. */
   private electorSinceMs = Infinity;
 
   constructor(private readonly options: ElectorateOptions) {
@@ -57,18 +56,18 @@
     this.recoveryElectors = [...new Map(targets.map((target) => [target.key, target])).values()];
   }
 
-  /** The process started: what it granted before is unknown. */
+  /** Records the start of the process; grants from before it are unknown. */
   start(nowMs: number): void {
     this.startedAtMs = nowMs;
   }
 
-  /** The clock was advanced by so much although no time passed: guards end that much later. */
+  /** Extends the guard periods by `byMs`, after the clock was set forward by that amount. */
   postpone(byMs: number): void {
     this.startedAtMs += byMs;
     this.electorSinceMs += byMs;
   }
 
-  /** Follows the held machine list; true when the zone's machines changed. */
+  /** Updates the electors from the current machine list; returns whether the zone's machines changed. */
   refresh(nowMs: number): boolean {
     const { identity } = this.options.view;
     const machines = this.options.view.machinesInZone(identity.zone);
@@ -85,13 +84,13 @@
     return true;
   }
 
-  /** Whether the held list names no machine of any zone with a share. */
-  isCold(): boolean {
+  /** Whether the machine list contains no machine in any zone that has a share. */
+  hasNoMachines(): boolean {
     const { readerShares, view } = this.options;
     return Object.keys(readerShares).every((zone) => view.machinesInZone(zone).length === 0);
   }
 
-  /** Until when this node may only renew leases of the slot; Infinity when it is no elector of it. */
+  /** Time until which this node may only renew leases of the slot; Infinity if it is not one of its electors. */
   guardedUntilMs(slot: string): number {
     const { durationMs } = this.options;
     if (slot === RECOVERY_SLOT) {
@@ -106,8 +105,8 @@
     return this.zoneElectors.some((target) => this.isSelf(target));
   }
 
-  /** Whether this node is an elector of its zone and was not long enough to grant anything. */
-  isEntering(nowMs: number): boolean {
+  /** Whether this node is an elector of its zone but has not been one long enough to grant leases. */
+  isInEntryGuard(nowMs: number): boolean {
     const guardMs = ENTRY_GUARD_DURATIONS * this.options.durationMs;
     return this.isZoneElector() && nowMs < this.electorSinceMs + guardMs;
   }
@@ -116,19 +115,18 @@
     return this.recoveryElectors.some((target) => this.isSelf(target));
   }
 
-  /** Whether the target is this node. */
   isSelf(target: ElectorTarget): boolean {
     return isTarget(target, this.options.view.identity);
   }
 
-  /** Position of this node among its zone's machines, 0 for the oldest. */
+  /** Position of this node among its zone's machines; 0 for the oldest. */
   zoneRank(): number {
     const { id } = this.options.view.identity;
     const rank = this.machines?.findIndex((machine) => machine.id === id) ?? -1;
     return rank < 0 ? Math.max(UNKNOWN_RANK, this.machines?.length ?? 0) : rank;
   }
 
-  /** Position of this node among the seeds, then by zone rank. */
+  /** Position of this node among the seeds; nodes that are not seeds follow in order of their zone rank. */
   recoveryRank(): number {
     const rank = this.recoveryElectors.findIndex((target) => this.isSelf(target));
     return rank < 0 ? this.recoveryElectors.length + this.zoneRank() : rank;
--- a/src/source/lease-candidate.ts
+++ b/src/source/lease-candidate.ts
@@ -1,6 +1,7 @@
 /**
- * Seeks and keeps one lease: asks one elector first, the others once it grants, renews while held,
- * gives back what was of no use. When to ask is up to the {@link CandidatePolicy}.
+ * Acquires and renews one lease. A round sends a request to one elector first and to the others once it has
+ * granted. The lease is renewed while it is held; grants of failed rounds are released. The
+ * {@link CandidatePolicy} decides when to send requests.
  */
 import type { RandomSource } from '../control/control-event.js';
 import type { PeerIdentity } from '../membership/peer-identity.js';
@@ -14,39 +15,39 @@
 import { ROUND_TIMEOUT_MS, type LeaseTerms } from './lease-terms.js';
 import { ReaderLease, type RoundState } from './reader-lease.js';
 
-/** Rounds are numbered from a random number below this, so that two processes' rounds differ. */
+/** Round numbers start at a random number below this bound, so that they differ between processes. */
 const FIRST_ROUND_RANGE = 2 ** 30;
 
-/** Decides for a candidate whom to ask, for what, and when. */
+/** Decides which electors a candidate contacts, which slot it requests, and when. */
 export interface CandidatePolicy {
-  /** Electors now; none: no lease can be had. */
+  /** Current electors; if there are none, no lease can be acquired. */
   electors(): readonly ElectorTarget[];
-  /** The slot to ask for; undefined: none is wanted now. */
+  /** The slot to request; undefined if none is wanted now. */
   wantedSlot(nowMs: number): string | undefined;
-  /** Whether a lease that is held is still wanted. */
-  keeps(nowMs: number): boolean;
-  /** Time until the next look at `wantedSlot`, after `failures` rounds without success in a row. */
+  /** Whether a held lease is still wanted. */
+  shouldKeep(nowMs: number): boolean;
+  /** Delay until `wantedSlot` is next evaluated, after `failures` consecutive failed rounds. */
   delayMs(failures: number, nowMs: number): number;
 }
 
-/** A message for an elector, which may be this node itself. */
+/** A message to an elector, which may be this node itself. */
 export interface ElectorCommand {
   readonly target: ElectorTarget;
   readonly message: LeaseRequestMessage | LeaseReleaseMessage;
 }
 
-/** One candidate, later holder. Its user sends the commands that it returns. */
+/** A candidate for one lease, and its holder once acquired. The caller must send the returned commands. */
 export class LeaseCandidate {
   readonly lease: ReaderLease;
-  /** Rounds without success since the last success. */
+  /** Failed rounds since the last successful one. */
   failures = 0;
-  private asked: readonly ElectorTarget[] = [];
+  private contacted: readonly ElectorTarget[] = [];
   private answered = new Set<string>();
-  private notYetAsked: readonly ElectorTarget[] = [];
-  private roundEndsAtMs = Infinity;
+  private uncontacted: readonly ElectorTarget[] = [];
+  private roundDeadlineMs = Infinity;
   private renewAtMs = Infinity;
-  private askAtMs = Infinity;
-  /** Slot of the lease held, or of the round under way. */
+  private nextAttemptAtMs = Infinity;
+  /** Slot of the held lease, or of the round in progress. */
   private slot: string | undefined;
 
   constructor(
@@ -58,32 +59,36 @@
     this.lease = new ReaderLease(terms.durationMs, firstRound);
   }
 
-  /** Begins to look for a lease; the electors or the rank of this node may have changed. */
+  /**
+   * Schedules an attempt after the policy's current delay, unless an earlier one is scheduled. Called when the
+   * electors or the rank of this node may have changed.
+   */
   schedule(nowMs: number): void {
     if (this.slot === undefined) {
-      this.askAtMs = Math.min(this.askAtMs, nowMs + this.policy.delayMs(this.failures, nowMs));
+      this.nextAttemptAtMs = Math.min(
+        this.nextAttemptAtMs,
+        nowMs + this.policy.delayMs(this.failures, nowMs),
+      );
     }
   }
 
   nextWakeAt(): number {
     const endsAtMs = this.renewAtMs === Infinity ? Infinity : this.lease.expiresAtMs();
-    return Math.min(this.askAtMs, this.roundEndsAtMs, this.renewAtMs, endsAtMs);
+    return Math.min(this.nextAttemptAtMs, this.roundDeadlineMs, this.renewAtMs, endsAtMs);
   }
 
-  /** Does what is due. */
   advance(nowMs: number): ElectorCommand[] {
     if (this.renewAtMs !== Infinity) {
       return this.advanceHeld(nowMs);
     }
-    if (nowMs >= this.roundEndsAtMs) {
-      return this.fail(nowMs);
+    if (nowMs >= this.roundDeadlineMs) {
+      return this.handleFailedRound(nowMs);
     }
-    return nowMs >= this.askAtMs ? this.ask(nowMs) : [];
+    return nowMs >= this.nextAttemptAtMs ? this.attempt(nowMs) : [];
   }
 
-  /** Takes an answer of `from`. */
   handleAnswer(from: PeerIdentity, answer: LeaseAnswerMessage, nowMs: number): ElectorCommand[] {
-    const elector = this.asked.find((target) => isTarget(target, from));
+    const elector = this.contacted.find((target) => isTarget(target, from));
     if (elector === undefined) {
       return [];
     }
@@ -92,43 +97,45 @@
       return [];
     }
     this.answered.add(elector.key);
-    return this.follow(state, answer.granted, nowMs);
+    return this.handleRoundState(state, answer.granted, nowMs);
   }
 
-  /** Gives up the lease or the round and tells the electors. */
-  giveUp(nowMs: number): ElectorCommand[] {
+  /** Abandons the lease or the round; returns the releases to send to the electors. */
+  releaseLease(nowMs: number): ElectorCommand[] {
     const slot = this.slot;
-    const round = this.lease.giveUp();
-    const told = new Map([...this.asked, ...this.policy.electors()].map((one) => [one.key, one]));
+    const round = this.lease.clear();
+    const recipients = new Map(
+      [...this.contacted, ...this.policy.electors()].map((one) => [one.key, one]),
+    );
     this.slot = undefined;
-    this.asked = [];
-    this.notYetAsked = [];
+    this.contacted = [];
+    this.uncontacted = [];
     this.renewAtMs = Infinity;
-    this.roundEndsAtMs = Infinity;
-    this.askAtMs = nowMs + this.policy.delayMs(this.failures, nowMs);
+    this.roundDeadlineMs = Infinity;
+    this.nextAttemptAtMs = nowMs + this.policy.delayMs(this.failures, nowMs);
     if (slot === undefined) {
       return [];
     }
     const message = { type: 'lease-release', slot, round } as const;
-    return [...told.values()].map((target) => ({ target, message }));
+    return [...recipients.values()].map((target) => ({ target, message }));
   }
 
-  /** Asks for nothing any more. */
+  /** Releases the lease and schedules no further attempt. */
   stop(nowMs: number): ElectorCommand[] {
-    const commands = this.giveUp(nowMs);
-    this.askAtMs = Infinity;
+    const commands = this.releaseLease(nowMs);
+    this.nextAttemptAtMs = Infinity;
     return commands;
   }
 
-  /** Electors that were asked in the last round and have not answered. */
+  /** Electors contacted in the last round that have not answered. */
   unanswered(): ElectorTarget[] {
-    return this.asked.filter((target) => !this.answered.has(target.key));
+    return this.contacted.filter((target) => !this.answered.has(target.key));
   }
 
   private advanceHeld(nowMs: number): ElectorCommand[] {
     const slot = this.lease.heldSlot(nowMs);
-    if (slot === undefined || !this.policy.keeps(nowMs)) {
-      return this.giveUp(nowMs);
+    if (slot === undefined || !this.policy.shouldKeep(nowMs)) {
+      return this.releaseLease(nowMs);
     }
     if (nowMs < this.renewAtMs) {
       return [];
@@ -138,16 +145,16 @@
     return this.beginRound(slot, electors, electors, nowMs);
   }
 
-  private ask(nowMs: number): ElectorCommand[] {
+  private attempt(nowMs: number): ElectorCommand[] {
     const electors = this.policy.electors();
     const slot = this.policy.wantedSlot(nowMs);
     if (slot === undefined || electors.length === 0) {
-      this.askAtMs = nowMs + this.policy.delayMs(this.failures, nowMs);
+      this.nextAttemptAtMs = nowMs + this.policy.delayMs(this.failures, nowMs);
       return [];
     }
-    this.askAtMs = Infinity;
+    this.nextAttemptAtMs = Infinity;
     this.slot = slot;
-    this.roundEndsAtMs = nowMs + ROUND_TIMEOUT_MS;
+    this.roundDeadlineMs = nowMs + ROUND_TIMEOUT_MS;
     const first = electors[Math.floor(this.random() * electors.length)];
     return this.beginRound(slot, electors, first === undefined ? [] : [first], nowMs);
   }
@@ -155,54 +162,54 @@
   private beginRound(
     slot: string,
     electors: readonly ElectorTarget[],
-    askedFirst: readonly ElectorTarget[],
+    contactedFirst: readonly ElectorTarget[],
     nowMs: number,
   ): ElectorCommand[] {
     const keys = electors.map((target) => target.key);
     const round = this.lease.begin(slot, keys, nowMs);
-    this.asked = askedFirst;
+    this.contacted = contactedFirst;
     this.answered = new Set();
-    this.notYetAsked = electors.filter((target) => !askedFirst.includes(target));
-    return this.requests(slot, round, askedFirst);
+    this.uncontacted = electors.filter((target) => !contactedFirst.includes(target));
+    return this.requests(slot, round, contactedFirst);
   }
 
-  private follow(state: RoundState, granted: boolean, nowMs: number): ElectorCommand[] {
+  private handleRoundState(state: RoundState, granted: boolean, nowMs: number): ElectorCommand[] {
     const isHeld = this.renewAtMs !== Infinity;
     if (state === 'won') {
-      return isHeld ? [] : this.win(nowMs);
+      return isHeld ? [] : this.handleWon(nowMs);
     }
     if (isHeld) {
       return [];
     }
-    if (state === 'lost' || (!granted && this.notYetAsked.length > 0)) {
-      return this.fail(nowMs);
+    if (state === 'lost' || (!granted && this.uncontacted.length > 0)) {
+      return this.handleFailedRound(nowMs);
     }
-    return granted ? this.askTheRest() : [];
+    return granted ? this.contactRemaining() : [];
   }
 
-  private askTheRest(): ElectorCommand[] {
-    const rest = this.notYetAsked;
-    if (rest.length === 0 || this.slot === undefined) {
+  private contactRemaining(): ElectorCommand[] {
+    const remaining = this.uncontacted;
+    if (remaining.length === 0 || this.slot === undefined) {
       return [];
     }
-    this.asked = [...this.asked, ...rest];
-    this.notYetAsked = [];
-    return this.requests(this.slot, this.lease.currentRound(), rest);
+    this.contacted = [...this.contacted, ...remaining];
+    this.uncontacted = [];
+    return this.requests(this.slot, this.lease.currentRound(), remaining);
   }
 
-  private win(nowMs: number): ElectorCommand[] {
+  private handleWon(nowMs: number): ElectorCommand[] {
     if (this.slot === undefined || nowMs >= this.lease.expiresAtMs()) {
-      return this.fail(nowMs);
+      return this.handleFailedRound(nowMs);
     }
     this.failures = 0;
-    this.roundEndsAtMs = Infinity;
+    this.roundDeadlineMs = Infinity;
     this.renewAtMs = nowMs + this.terms.renewIntervalMs;
-    return this.askTheRest();
+    return this.contactRemaining();
   }
 
-  private fail(nowMs: number): ElectorCommand[] {
+  private handleFailedRound(nowMs: number): ElectorCommand[] {
     this.failures += 1;
-    return this.giveUp(nowMs);
+    return this.releaseLease(nowMs);
   }
 
   private requests(
--- a/src/source/lease-exchange.ts
+++ b/src/source/lease-exchange.ts
@@ -1,4 +1,4 @@
-/** Carries requests, answers and releases between candidates, electors and this node's own elector. */
+/** Exchanges requests, answers and releases between this node's candidates, its own elector, and other electors. */
 import type { ControlEffect, CounterSink } from '../control/control-event.js';
 import { TargetLinks } from '../control/target-links.js';
 import type { PeerIdentity } from '../membership/peer-identity.js';
@@ -9,7 +9,7 @@
 import { ROUND_TIMEOUT_MS } from './lease-terms.js';
 import { SOURCE_COUNTERS } from './source-counters.js';
 
-/** Sends what candidates say, and answers what other nodes ask. */
+/** Sends the commands of candidates and answers the requests of other nodes. */
 export class LeaseExchange {
   readonly links = new TargetLinks();
   private isStopped = false;
@@ -21,13 +21,17 @@
     private readonly counters: CounterSink,
   ) {}
 
-  /** Grants nothing any more. */
+  /** Refuses all further requests. */
   stop(): void {
     this.isStopped = true;
   }
 
   /** Answers a request as an elector. */
-  grant(from: PeerIdentity, request: LeaseRequestMessage, nowMs: number): LeaseAnswerMessage {
+  answerRequest(
+    from: PeerIdentity,
+    request: LeaseRequestMessage,
+    nowMs: number,
+  ): LeaseAnswerMessage {
     const guardedUntilMs = this.isStopped ? Infinity : this.electorate.guardedUntilMs(request.slot);
     const answer = this.elector.request(from, request, guardedUntilMs, nowMs);
     if (answer.granted) {
@@ -36,7 +40,7 @@
     return answer;
   }
 
-  /** Sends commands; those for this node itself are carried out here, with what follows. */
+  /** Sends commands; those addressed to this node are executed directly, including any resulting commands. */
   deliver(
     candidate: LeaseCandidate,
     commands: readonly ElectorCommand[],
@@ -53,7 +57,7 @@
       } else if (message.type === 'lease-release') {
         this.elector.release(this.identity, message, nowMs);
       } else {
-        const answer = this.grant(this.identity, message, nowMs);
+        const answer = this.answerRequest(this.identity, message, nowMs);
         queue.push(...candidate.handleAnswer(this.identity, answer, nowMs));
       }
     }
--- a/src/source/platform-answer.ts
+++ b/src/source/platform-answer.ts
@@ -1,4 +1,4 @@
-/** Reads the platform's answers: status, header and body to a {@link PlatformAnswer}. Pure. */
+/** Converts an HTTP response of the platform to a {@link PlatformAnswer}. Pure. */
 import { canonicalJson } from '../model/canonical-json.js';
 import {
   InvalidConfigurationError,
@@ -8,22 +8,22 @@
 import { parseSourceDocument, sourceDocumentValues } from '../model/source-document.js';
 import type { PlatformAnswer, PlatformDocument } from '../control/control-event.js';
 
-/** Longest `Retry-After` that is believed, in milliseconds. */
+/** Maximum delay accepted from `Retry-After`, in milliseconds; longer ones are shortened to it. */
 export const MAX_RETRY_AFTER_MS = 60_000;
 
 const OK_STATUS = 200;
 const NOT_MODIFIED_STATUS = 304;
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** A complete answer of the platform. */
+/** A complete response of the platform. */
 export interface PlatformResponse {
   readonly status: number;
-  /** The `Retry-After` header, in its form of seconds; other forms are ignored. */
+  /** The `Retry-After` header; only the form in seconds is used. */
   readonly retryAfter?: string | undefined;
   readonly body: string;
 }
 
-/** What `response` means; `knownNumber` is the version named in the request, 0 for none. */
+/** Interprets `response`; `knownNumber` is the version named in the request, or 0 if there was none. */
 export function interpretResponse(
   document: PlatformDocument,
   knownNumber: number,
@@ -38,7 +38,7 @@
   return unavailable(response.retryAfter);
 }
 
-/** An answer that is refused whole, with one fault. */
+/** An answer that is rejected entirely because of one fault. */
 export function invalidAnswer(number: number, path: string, reason: string): PlatformAnswer {
   return { outcome: 'invalid', number, faults: [{ path, reason }] };
 }
@@ -56,7 +56,7 @@
   try {
     value = JSON.parse(body);
   } catch {
-    // The parser's own message quotes the text, which may hold a secret.
+    // The parser's own message quotes the text, which may contain a secret.
     return invalidAnswer(0, 'body', 'expected JSON');
   }
   return document === 'source' ? interpretSource(value) : interpretMachines(value);
@@ -87,14 +87,14 @@
   for (const machine of parsed.data.machines) {
     const key = `machine/${machine.id}`;
     if (values.has(key)) {
-      return invalidAnswer(parsed.data.version, key, 'identity stands twice');
+      return invalidAnswer(parsed.data.version, key, 'duplicate machine identity');
     }
     values.set(key, canonicalJson(machine));
   }
   return { outcome: 'document', number: parsed.data.version, values };
 }
 
-/** The version number of a document that is otherwise refused; 0 where there is none. */
+/** Version number of a document that is otherwise invalid; 0 if it has none. */
 function versionOf(value: unknown): number {
   if (value === null || typeof value !== 'object' || !('version' in value)) {
     return 0;
--- a/src/source/platform-client.ts
+++ b/src/source/platform-client.ts
@@ -1,10 +1,10 @@
 /**
- * Adapter to the platform, which can only be read: the configuration and the machine list over HTTP.
+ * Read-only HTTP adapter to the platform, for the configuration and the machine list.
  *
- * One read runs at a time, each on a connection of its own that ends with the answer. A kept-alive
- * connection would save one connection set-up a read, but the platform counts open connections: a
- * process that is frozen, or cut off, between two reads would still count as a reader after its
- * lease has passed to another.
+ * Only one read runs at a time, each on its own connection, which is closed after the response. A keep-alive
+ * connection would save one connection set-up per read, but the platform counts open connections: a process
+ * that is suspended or partitioned between two reads would still count as a reader after its lease has passed
+ * to another node.
  */
 import { request, type ClientRequest, type IncomingMessage } from 'node:http';
 import csp, { type Channel, type Process } from 'js-csp';
@@ -12,22 +12,21 @@
 import type { PlatformAnswer, PlatformDocument } from '../control/control-event.js';
 import { interpretResponse, invalidAnswer } from './platform-answer.js';
 
-/** Largest answer that is read, in bytes. */
+/** Maximum size of a response body, in bytes. */
 export const MAX_ANSWER_BYTES = 16 * 1024 * 1024;
-/** Reads that may wait for the one that runs; more are answered `unavailable`. */
+/** Maximum number of reads queued behind the running one; further reads return `unavailable`. */
 const MAX_WAITING_READS = 16;
 
-/** Where the platform listens. */
 export interface PlatformClientOptions {
   readonly configurationUrl: string;
   readonly machinesUrl: string;
   /** Default {@link MAX_ANSWER_BYTES}. */
   readonly maxAnswerBytes?: number;
-  /** Clock in milliseconds that runs on while the process is stopped; default: monotonic. */
+  /** Clock in milliseconds that keeps advancing while the process is suspended; default: monotonic. */
   readonly now?: () => number;
 }
 
-/** One read, from the call until its answer. */
+/** A read that is queued or running. */
 interface PlatformRead {
   readonly document: PlatformDocument;
   readonly knownNumber: number;
@@ -39,10 +38,10 @@
 
 const UNAVAILABLE: PlatformAnswer = { outcome: 'unavailable' };
 
-/** Reads the platform's documents. Every read is answered; none throws. */
+/** Reads the platform's documents. Every read resolves to an answer; none rejects. */
 export class PlatformClient {
   private readonly waiting = csp.chan<PlatformRead>(csp.buffers.fixed(MAX_WAITING_READS));
-  private readonly open = new Set<PlatformRead>();
+  private readonly pendingReads = new Set<PlatformRead>();
   private readonly urls: Readonly<Record<PlatformDocument, URL>>;
   private readonly maxAnswerBytes: number;
   private readonly now: () => number;
@@ -58,8 +57,8 @@
   }
 
   /**
-   * Reads `document`, conditionally when `knownNumber` is not 0. Nothing is sent after `deadlineMs`
-   * on the client's clock, also when the process was stopped meanwhile.
+   * Reads `document`, conditionally if `knownNumber` is not 0. Nothing is sent after `deadlineMs` on the client's
+   * clock, even if the process was suspended in the meantime.
    */
   async read(
     document: PlatformDocument,
@@ -76,27 +75,27 @@
     if (!csp.offer(this.waiting, read)) {
       return UNAVAILABLE;
     }
-    this.open.add(read);
+    this.pendingReads.add(read);
     const timer = setTimeout(() => read.abort.abort(), Math.max(0, deadlineMs - this.now()));
     const answer = await new Promise<PlatformAnswer | null>((resolve) =>
       csp.takeAsync(read.answers, resolve),
     );
     clearTimeout(timer);
-    this.open.delete(read);
+    this.pendingReads.delete(read);
     return answer ?? UNAVAILABLE;
   }
 
-  /** Closes the connection at once and answers all reads `unavailable`; later reads work again. */
+  /** Closes the connection immediately and resolves all pending reads as `unavailable`; later reads still work. */
   close(): void {
-    for (const read of this.open) {
+    for (const read of this.pendingReads) {
       read.abort.abort();
     }
   }
 
-  /** Sends one read; the channel gives its answer once the connection has gone. */
+  /** Sends the request of one read; the channel receives the answer once the connection has closed. */
   private fetch(read: PlatformRead): Channel<PlatformAnswer> {
     const closed = csp.chan<PlatformAnswer>(csp.buffers.fixed(1));
-    if (this.isOver(read)) {
+    if (this.isExpired(read)) {
       csp.offer(closed, UNAVAILABLE);
       return closed;
     }
@@ -108,7 +107,7 @@
     });
     let answer = UNAVAILABLE;
     outgoing.once('socket', (socket) => {
-      socket.prependListener('connect', () => this.abortWhenOver(read));
+      socket.prependListener('connect', () => this.abortIfExpired(read));
     });
     outgoing.once('response', (response) => {
       this.receive(read, response, outgoing, (received) => {
@@ -117,7 +116,7 @@
     });
     outgoing.once('error', () => undefined);
     outgoing.once('close', () => {
-      csp.offer(closed, this.isOver(read) ? UNAVAILABLE : answer);
+      csp.offer(closed, this.isExpired(read) ? UNAVAILABLE : answer);
     });
     outgoing.end();
     return closed;
@@ -127,7 +126,7 @@
     read: PlatformRead,
     response: IncomingMessage,
     outgoing: ClientRequest,
-    done: (answer: PlatformAnswer) => void,
+    onAnswer: (answer: PlatformAnswer) => void,
   ): void {
     const chunks: Buffer[] = [];
     let receivedBytes = 0;
@@ -135,7 +134,7 @@
     response.on('data', (chunk: Buffer) => {
       receivedBytes += chunk.length;
       if (receivedBytes > this.maxAnswerBytes) {
-        done(invalidAnswer(0, 'body', `expected at most ${this.maxAnswerBytes} bytes`));
+        onAnswer(invalidAnswer(0, 'body', `expected at most ${this.maxAnswerBytes} bytes`));
         outgoing.destroy();
         return;
       }
@@ -146,24 +145,24 @@
         const body = Buffer.concat(chunks).toString('utf8');
         const status = response.statusCode ?? 0;
         const retryAfter = response.headers['retry-after'];
-        done(interpretResponse(read.document, read.knownNumber, { status, retryAfter, body }));
+        onAnswer(interpretResponse(read.document, read.knownNumber, { status, retryAfter, body }));
       }
       outgoing.destroy();
     });
   }
 
-  private isOver(read: PlatformRead): boolean {
+  private isExpired(read: PlatformRead): boolean {
     return read.abort.signal.aborted || this.now() >= read.deadlineMs;
   }
 
-  private abortWhenOver(read: PlatformRead): void {
-    if (this.isOver(read)) {
+  private abortIfExpired(read: PlatformRead): void {
+    if (this.isExpired(read)) {
       read.abort.abort();
     }
   }
 }
 
-/** Serves reads one after the other, so that the platform sees one connection at most. */
+/** Executes reads one at a time, so that the platform has at most one connection from this client. */
 function* serveReads(
   waiting: Channel<PlatformRead>,
   fetch: (read: PlatformRead) => Channel<PlatformAnswer>,
--- a/src/source/platform-poll.ts
+++ b/src/source/platform-poll.ts
@@ -1,4 +1,4 @@
-/** When a holder reads which document: intervals with jitter, back-off, one read at a time. */
+/** Schedules a lease holder's reads of the platform: one at a time, at intervals with jitter and back-off. */
 import type {
   ControlEffect,
   PlatformAnswer,
@@ -6,16 +6,16 @@
   RandomSource,
 } from '../control/control-event.js';
 
-/** Longest back-off that the platform did not ask for, in milliseconds. */
+/** Maximum back-off, unless the platform requests a longer delay, in milliseconds. */
 export const MAX_BACKOFF_MS = 5_000;
-/** A read is not begun when the lease leaves less time than this, in milliseconds. */
+/** No read is started if less time than this remains of the lease, in milliseconds. */
 export const MIN_READ_MS = 20;
-/** Reads without an answer in a row after which another node should try. */
+/** Consecutive `unavailable` reads after which another node should take over. */
 export const FAILURES_BEFORE_HANDOVER = 5;
-/** Part by which an interval varies either way. */
+/** Fraction by which an interval varies in either direction. */
 const JITTER_FRACTION = 0.1;
 
-/** Times of reads, in milliseconds. */
+/** Timing of reads, in milliseconds. */
 export interface PollTerms {
   readonly configurationIntervalMs: number;
   readonly machinesIntervalMs: number;
@@ -24,8 +24,8 @@
 
 interface Schedule {
   nextAtMs: number;
-  /** Reads in a row that brought nothing to follow. */
-  fruitless: number;
+  /** Consecutive reads that returned neither `not-modified` nor a document that was adopted. */
+  unsuccessfulReads: number;
 }
 
 interface PendingRead {
@@ -33,13 +33,13 @@
   readonly readId: number;
 }
 
-/** Schedules one holder's reads, from `start` to `stop`. */
+/** Schedules the reads of one lease holder, from `start` to `stop`. */
 export class PlatformPoll {
-  /** Reads in a row that the platform did not answer. */
+  /** Consecutive `unavailable` reads. */
   failures = 0;
   private readonly schedules: Record<PlatformDocument, Schedule> = {
-    source: { nextAtMs: Infinity, fruitless: 0 },
-    machines: { nextAtMs: Infinity, fruitless: 0 },
+    source: { nextAtMs: Infinity, unsuccessfulReads: 0 },
+    machines: { nextAtMs: Infinity, unsuccessfulReads: 0 },
   };
   private pending: PendingRead | undefined;
   private lastReadId = 0;
@@ -49,14 +49,14 @@
     private readonly random: RandomSource,
   ) {}
 
-  /** Reading may begin: both documents are due. */
+  /** Starts polling; both documents are due immediately. */
   start(nowMs: number): void {
     this.failures = 0;
-    this.schedules.source = { nextAtMs: nowMs, fruitless: 0 };
-    this.schedules.machines = { nextAtMs: nowMs, fruitless: 0 };
+    this.schedules.source = { nextAtMs: nowMs, unsuccessfulReads: 0 };
+    this.schedules.machines = { nextAtMs: nowMs, unsuccessfulReads: 0 };
   }
 
-  /** Reading must end; an answer that is under way is no longer known. */
+  /** Stops polling; the answer to a pending read will be ignored. */
   stop(): void {
     this.pending = undefined;
     this.schedules.source.nextAtMs = Infinity;
@@ -69,8 +69,8 @@
       : Infinity;
   }
 
-  /** The read that is due, if any, which ends before `endsAtMs`. */
-  due(
+  /** The read that is due, if any; it is aborted before `endsAtMs`. */
+  nextRead(
     heldNumber: (document: PlatformDocument) => number,
     endsAtMs: number,
     nowMs: number,
@@ -91,13 +91,13 @@
     return { type: 'read-platform', document, readId, knownNumber, abortAfterMs };
   }
 
-  /** Whether an answer belongs to the read under way. */
+  /** Whether an answer belongs to the pending read. */
   isPending(document: PlatformDocument, readId: number): boolean {
     return this.pending?.document === document && this.pending.readId === readId;
   }
 
-  /** Takes the answer of the read under way; `wasFollowed`: it changed what this node holds. */
-  answered(answer: PlatformAnswer, wasFollowed: boolean, nowMs: number): void {
+  /** Handles the answer to the pending read; `wasAdopted` is whether it changed the version held by this node. */
+  handleAnswer(answer: PlatformAnswer, wasAdopted: boolean, nowMs: number): void {
     const document = this.pending?.document;
     if (document === undefined) {
       return;
@@ -105,21 +105,21 @@
     this.pending = undefined;
     this.failures = answer.outcome === 'unavailable' ? this.failures + 1 : 0;
     const schedule = this.schedules[document];
-    const isFruitful = wasFollowed || answer.outcome === 'not-modified';
-    schedule.fruitless = isFruitful ? 0 : schedule.fruitless + 1;
-    const askedForMs = answer.outcome === 'unavailable' ? (answer.retryAfterMs ?? 0) : 0;
-    const delayMs = Math.max(this.delayMs(document, schedule.fruitless), askedForMs);
+    const isSuccessful = wasAdopted || answer.outcome === 'not-modified';
+    schedule.unsuccessfulReads = isSuccessful ? 0 : schedule.unsuccessfulReads + 1;
+    const requestedDelayMs = answer.outcome === 'unavailable' ? (answer.retryAfterMs ?? 0) : 0;
+    const delayMs = Math.max(this.delayMs(document, schedule.unsuccessfulReads), requestedDelayMs);
     schedule.nextAtMs = nowMs + delayMs * (1 + JITTER_FRACTION * (2 * this.random() - 1));
-    if (askedForMs > 0) {
-      this.postpone(nowMs + askedForMs);
+    if (requestedDelayMs > 0) {
+      this.postpone(nowMs + requestedDelayMs);
     }
   }
 
-  private delayMs(document: PlatformDocument, fruitless: number): number {
+  private delayMs(document: PlatformDocument, unsuccessfulReads: number): number {
     const intervalMs =
       document === 'source' ? this.terms.configurationIntervalMs : this.terms.machinesIntervalMs;
-    const backedOffMs = intervalMs * 2 ** Math.min(fruitless, 10);
-    return Math.max(intervalMs, Math.min(backedOffMs, MAX_BACKOFF_MS));
+    const backoffMs = intervalMs * 2 ** Math.min(unsuccessfulReads, 10);
+    return Math.max(intervalMs, Math.min(backoffMs, MAX_BACKOFF_MS));
   }
 
   private mostOverdue(): PlatformDocument {
@@ -127,7 +127,7 @@
     return source.nextAtMs <= machines.nextAtMs ? 'source' : 'machines';
   }
 
-  /** Neither document is read before `untilMs`. */
+  /** Postpones the reads of both documents until `untilMs`. */
   private postpone(untilMs: number): void {
     for (const schedule of Object.values(this.schedules)) {
       schedule.nextAtMs = Math.max(schedule.nextAtMs, untilMs);
--- a/src/source/reader-lease.ts
+++ b/src/source/reader-lease.ts
@@ -1,12 +1,12 @@
 /**
- * The holding side of one reader lease: rounds of requests to electors, and how long the majority of
- * grants of a round may be counted on. The time counts from when the round began, which is before
- * any elector answered, so that the lease ends here before any of its grants ends.
+ * The holding side of one reader lease: counts the electors' answers to a round and determines when the lease
+ * expires. Its duration starts with the round, before any elector answers, so that it expires at the holder
+ * before any of its grants expires.
  */
 import type { LeaseAnswerMessage } from '../wire/message.js';
 import { holderTermMs, majorityOf } from './lease-terms.js';
 
-/** State of a round: open, granted by a majority, or out of reach of one. */
+/** State of a round: undecided, granted by a majority, or unable to reach a majority. */
 export type RoundState = 'open' | 'won' | 'lost';
 
 interface Round {
@@ -24,13 +24,13 @@
   readonly expiresAtMs: number;
 }
 
-/** Counts grants and time for one slot at a time. */
+/** The lease and the current round of one candidate, for one slot at a time. */
 export class ReaderLease {
   private round: Round | undefined;
   private held: HeldLease | undefined;
   private lastRound: number;
 
-  /** `firstRound` should differ between processes of one machine, so that stray answers miss. */
+  /** `firstRound` should differ between processes of one machine, so that answers to another process are ignored. */
   constructor(
     private readonly durationMs: number,
     firstRound: number,
@@ -38,7 +38,7 @@
     this.lastRound = firstRound;
   }
 
-  /** Begins a round with `electors`, by key; gives its number. The lease held so far goes on. */
+  /** Begins a round with `electors`, given by key; returns its number. A held lease stays in force. */
   begin(slot: string, electors: readonly string[], nowMs: number): number {
     this.lastRound += 1;
     this.round = {
@@ -52,7 +52,7 @@
     return this.lastRound;
   }
 
-  /** Takes an elector's answer; undefined when it does not belong to the round under way. */
+  /** Records an elector's answer; undefined if it does not belong to the current round. */
   record(elector: string, answer: LeaseAnswerMessage): RoundState | undefined {
     const round = this.round;
     if (round === undefined || answer.round !== round.number || answer.slot !== round.slot) {
@@ -62,32 +62,31 @@
       return undefined;
     }
     (answer.granted ? round.granted : round.refused).add(elector);
-    return this.judge(round);
+    return this.evaluate(round);
   }
 
-  /** End of the lease; -Infinity when none was won. */
+  /** Expiry of the lease; -Infinity if none is held. */
   expiresAtMs(): number {
     return this.held?.expiresAtMs ?? -Infinity;
   }
 
-  /** Slot of the lease in force; undefined when there is none. */
+  /** Slot of the lease in force; undefined if there is none. */
   heldSlot(nowMs: number): string | undefined {
     return nowMs < this.expiresAtMs() ? this.held?.slot : undefined;
   }
 
-  /** Number of the newest round. */
   currentRound(): number {
     return this.lastRound;
   }
 
-  /** Forgets the lease and the round; answers to rounds up to the number given count no more. */
-  giveUp(): number {
+  /** Discards the lease and the round; answers to rounds up to the returned number are ignored. */
+  clear(): number {
     this.round = undefined;
     this.held = undefined;
     return this.lastRound;
   }
 
-  private judge(round: Round): RoundState {
+  private evaluate(round: Round): RoundState {
     const majority = majorityOf(round.electors.size);
     if (round.granted.size >= majority) {
       const expiresAtMs = round.startedAtMs + holderTermMs(this.durationMs);
--- a/src/source/source-counters.ts
+++ b/src/source/source-counters.ts
@@ -1,4 +1,4 @@
-/** Names of the counters of reading the platform. */
+/** Names of the platform reader's counters. */
 export const SOURCE_COUNTERS = {
   leasesWon: 'ferryspool_reader_leases_won_total',
   leasesLost: 'ferryspool_reader_leases_lost_total',
--- a/src/source/source-reader.ts
+++ b/src/source/source-reader.ts
@@ -1,9 +1,9 @@
 /**
- * Reads the platform on behalf of the fleet while this node holds a lease, and grants leases to
- * others as an elector. Pure decision logic; a part of the control plane.
+ * Reads the platform for the fleet while this node holds a lease, and grants leases to other nodes as an elector.
+ * Pure decision logic; a component of the control plane.
  *
- * Every event is preceded by a look at the clock: a process that was stopped past the end of its
- * lease closes its connection to the platform before it does anything else.
+ * The clock is checked before every event is handled: a process that was suspended beyond the expiry of its lease
+ * closes its connection to the platform before it does anything else.
  */
 import type {
   ControlComponent,
@@ -24,8 +24,8 @@
 import { SOURCE_COUNTERS } from './source-counters.js';
 import type { SourceReaderOptions } from './source-reader-options.js';
 
-/** Time for which a node that could not reach the platform leaves the lease to others. */
-export const HANDOVER_REST_MS = 5_000;
+/** Time for which a node that could not reach the platform requests no lease, in milliseconds. */
+export const HANDOVER_PAUSE_MS = 5_000;
 
 /** Elector, candidate and reader of one node. */
 export class SourceReader implements ControlComponent {
@@ -40,8 +40,8 @@
   private readonly poll: PlatformPoll | undefined;
   private isReading = false;
   private isStopped = false;
-  /** Most by which the clock of events was ahead of the steady one. */
-  private clockLeadMs: number | undefined;
+  /** Maximum observed lead of the event clock over the steady clock. */
+  private maxClockLeadMs: number | undefined;
 
   constructor(private readonly options: SourceReaderOptions) {
     const { random, lease, seeds, readerShares } = options;
@@ -66,14 +66,14 @@
 
   handle(event: ControlEvent, nowMs: number): ControlEffect[] {
     const effects: ControlEffect[] = [];
-    this.closeWhenLost(nowMs, effects);
-    this.followClock(nowMs);
-    this.followMachines(nowMs);
+    this.closeIfLeaseLost(nowMs, effects);
+    this.compensateClockAdvance(nowMs);
+    this.refreshElectorate(nowMs);
     this.dispatch(event, nowMs, effects);
     if (!this.isStopped && this.poll !== undefined) {
       this.advance(this.zone, nowMs, effects);
       this.advance(this.recovery, nowMs, effects);
-      this.closeWhenLost(nowMs, effects);
+      this.closeIfLeaseLost(nowMs, effects);
       this.read(this.poll, nowMs, effects);
     }
     return effects;
@@ -85,13 +85,13 @@
     return Math.min(this.zone.nextWakeAt(), this.recovery.nextWakeAt(), leaseEndMs, pollAtMs);
   }
 
-  /** Slots whose lease this node holds at `nowMs`. */
+  /** Slots whose leases this node holds at `nowMs`. */
   heldSlots(nowMs: number): string[] {
     const slots = [this.zone.lease.heldSlot(nowMs), this.recovery.lease.heldSlot(nowMs)];
     return slots.filter((slot) => slot !== undefined);
   }
 
-  /** The platform may be read before this time; -Infinity without a lease. */
+  /** Time before which the platform may be read; -Infinity without a lease. */
   readableUntilMs(): number {
     return Math.max(this.zone.lease.expiresAtMs(), this.recovery.lease.expiresAtMs());
   }
@@ -129,7 +129,7 @@
 
   private start(nowMs: number): void {
     this.electorate.start(nowMs);
-    this.evidence.note(this.zone.failures, nowMs);
+    this.evidence.recordReader(this.zone.failures, nowMs);
     this.scheduleCandidates(nowMs);
   }
 
@@ -140,20 +140,20 @@
     this.deliver(this.recovery, this.recovery.stop(nowMs), nowMs, effects);
   }
 
-  /** Grants are held to the steady clock when the clock of events runs ahead of it. */
-  private followClock(nowMs: number): void {
+  /** Extends grants and guard periods when the event clock moves ahead of the steady clock. */
+  private compensateClockAdvance(nowMs: number): void {
     const leadMs = nowMs - (this.options.steadyNow?.() ?? nowMs);
-    const advancedMs = leadMs - (this.clockLeadMs ?? leadMs);
+    const advancedMs = leadMs - (this.maxClockLeadMs ?? leadMs);
     if (advancedMs > 0) {
       this.elector.postpone(advancedMs);
       this.electorate.postpone(advancedMs);
     }
-    this.clockLeadMs = Math.max(this.clockLeadMs ?? leadMs, leadMs);
+    this.maxClockLeadMs = Math.max(this.maxClockLeadMs ?? leadMs, leadMs);
   }
 
-  private followMachines(nowMs: number): void {
+  private refreshElectorate(nowMs: number): void {
     if (this.electorate.refresh(nowMs)) {
-      this.evidence.note(this.zone.failures, nowMs);
+      this.evidence.recordReader(this.zone.failures, nowMs);
       this.scheduleCandidates(nowMs);
     }
   }
@@ -176,7 +176,7 @@
         effects.push({
           type: 'send',
           to: from.id,
-          message: this.exchange.grant(from, message, nowMs),
+          message: this.exchange.answerRequest(from, message, nowMs),
         });
         break;
       case 'lease-release':
@@ -200,36 +200,36 @@
     const candidate = answer.slot === RECOVERY_SLOT ? this.recovery : this.zone;
     this.deliver(candidate, candidate.handleAnswer(from, answer, nowMs), nowMs, effects);
     if (candidate === this.zone && !answer.granted && answer.retryAfterMs > ROUND_TIMEOUT_MS) {
-      this.evidence.note(this.zone.failures, nowMs);
+      this.evidence.recordReader(this.zone.failures, nowMs);
     }
   }
 
   private advance(candidate: LeaseCandidate, nowMs: number, effects: ControlEffect[]): void {
-    const silent = candidate.unanswered();
+    const unanswered = candidate.unanswered();
     const wasHeld = candidate.lease.heldSlot(nowMs) !== undefined;
     const commands = candidate.advance(nowMs);
     if (commands.length === 0) {
       return;
     }
-    const forgetLinks = (): void =>
-      silent.forEach((target) => this.exchange.links.unanswered(target));
+    const reportUnanswered = (): void =>
+      unanswered.forEach((target) => this.exchange.links.unanswered(target));
     if (wasHeld) {
-      forgetLinks();
+      reportUnanswered();
     }
     this.deliver(candidate, commands, nowMs, effects);
     if (!wasHeld) {
-      forgetLinks();
+      reportUnanswered();
     }
   }
 
-  /** Sends commands. A lease is given back only after the connection is closed. */
+  /** Sends commands. The connection to the platform is closed before a lease is released. */
   private deliver(
     candidate: LeaseCandidate,
     commands: readonly ElectorCommand[],
     nowMs: number,
     effects: ControlEffect[],
   ): void {
-    this.closeWhenLost(nowMs, effects);
+    this.closeIfLeaseLost(nowMs, effects);
     this.exchange.deliver(candidate, commands, nowMs, effects);
   }
 
@@ -244,23 +244,23 @@
       return;
     }
     const { documents, counters } = this.options;
-    const before = documents.heldNumber(document);
+    const previousNumber = documents.heldNumber(document);
     effects.push(...documents.offer(document, answer, nowMs));
-    this.poll.answered(answer, documents.heldNumber(document) !== before, nowMs);
-    this.followMachines(nowMs);
+    this.poll.handleAnswer(answer, documents.heldNumber(document) !== previousNumber, nowMs);
+    this.refreshElectorate(nowMs);
     if (answer.outcome === 'unavailable') {
       counters.add(SOURCE_COUNTERS.failedReads);
-      this.handOverWhenCutOff(this.poll, nowMs);
+      this.handOverIfUnreachable(this.poll, nowMs);
     }
   }
 
-  /** A holder that can't reach the platform lets others try, when there are others. */
-  private handOverWhenCutOff(poll: PlatformPoll, nowMs: number): void {
+  /** Lets other nodes acquire the lease if this one cannot reach the platform, unless it is the only elector. */
+  private handOverIfUnreachable(poll: PlatformPoll, nowMs: number): void {
     const electors = [...this.electorate.zoneElectors, ...this.electorate.recoveryElectors];
-    const isAlone = electors.every((target) => this.electorate.isSelf(target));
-    if (poll.failures >= FAILURES_BEFORE_HANDOVER && !isAlone) {
-      this.zonePolicy.rest(nowMs + HANDOVER_REST_MS);
-      this.recoveryPolicy.rest(nowMs + HANDOVER_REST_MS);
+    const isOnlyElector = electors.every((target) => this.electorate.isSelf(target));
+    if (poll.failures >= FAILURES_BEFORE_HANDOVER && !isOnlyElector) {
+      this.zonePolicy.pauseUntil(nowMs + HANDOVER_PAUSE_MS);
+      this.recoveryPolicy.pauseUntil(nowMs + HANDOVER_PAUSE_MS);
     }
   }
 
@@ -270,9 +270,9 @@
       return;
     }
     if (!this.isReading) {
-      this.beginReading(poll, nowMs, effects);
+      this.startReading(poll, nowMs, effects);
     }
-    const read = poll.due(
+    const read = poll.nextRead(
       (document) => this.options.documents.heldNumber(document),
       endsAtMs,
       nowMs,
@@ -283,17 +283,17 @@
     }
   }
 
-  private beginReading(poll: PlatformPoll, nowMs: number, effects: ControlEffect[]): void {
+  private startReading(poll: PlatformPoll, nowMs: number, effects: ControlEffect[]): void {
     this.isReading = true;
     poll.start(nowMs);
-    this.evidence.note(this.zone.failures, nowMs);
+    this.evidence.recordReader(this.zone.failures, nowMs);
     this.options.counters.add(SOURCE_COUNTERS.leasesWon);
     const detail = this.heldSlots(nowMs).join(', ');
     effects.push({ type: 'state-change', what: 'reader-lease-won', detail });
   }
 
-  /** Closes the connection as soon as no lease is in force. */
-  private closeWhenLost(nowMs: number, effects: ControlEffect[]): void {
+  /** Closes the connection to the platform if no lease is in force any more. */
+  private closeIfLeaseLost(nowMs: number, effects: ControlEffect[]): void {
     if (!this.isReading || nowMs < this.readableUntilMs()) {
       return;
     }
--- a/src/store/carried-endpoints.ts
+++ b/src/store/carried-endpoints.ts
@@ -6,7 +6,7 @@
 import type { Endpoint } from '../model/resource.js';
 
 /** An endpoint and the metadata of its entry. */
-export interface NamedEndpoint {
+export interface EndpointEntry {
   readonly endpoint: Endpoint;
   /** Revision of the entry. */
   readonly revision: number;
@@ -19,9 +19,9 @@
  * precedence (the listed one if their order is unknown), then a draining state, then the higher sequence.
  */
 export function resolveCarriedEndpoint(
-  listed: NamedEndpoint | undefined,
-  carried: NamedEndpoint,
-): NamedEndpoint {
+  listed: EndpointEntry | undefined,
+  carried: EndpointEntry,
+): EndpointEntry {
   if (listed === undefined) {
     return carried;
   }
@@ -34,6 +34,6 @@
   return listed.sequence < carried.sequence ? carried : listed;
 }
 
-function isDraining({ endpoint }: NamedEndpoint): boolean {
+function isDraining({ endpoint }: EndpointEntry): boolean {
   return endpoint.spec.state === 'draining';
 }
--- a/src/store/change-log.ts
+++ b/src/store/change-log.ts
@@ -2,7 +2,7 @@
 import type { StoreChange } from './key-value-store.js';
 
 /** Replaced changes that are kept at most, beyond as many as there are valid ones. */
-const MAX_REPLACED = 64;
+const MAX_SUPERSEDED = 64;
 
 /** The log of one replica. */
 export class ChangeLog {
@@ -14,7 +14,7 @@
   /** Takes a change, mostly the newest; `currentCount` is how many changes are current. */
   add(change: StoreChange, currentCount: number): void {
     this.changes.splice(this.indexAfter(change.revision), 0, change);
-    if (this.changes.length > 2 * currentCount + MAX_REPLACED) {
+    if (this.changes.length > 2 * currentCount + MAX_SUPERSEDED) {
       this.changes = this.changes.filter((one) => this.isCurrent(one));
     }
   }
--- a/src/store/configuration-record.ts
+++ b/src/store/configuration-record.ts
@@ -14,7 +14,7 @@
 }
 
 /** One endpoint. */
-export interface EndpointRecordOfStore {
+export interface StoredEndpointRecord {
   readonly kind: 'endpoint';
   readonly endpoint: Endpoint;
   /** Increases with each write of the entry by its endpoint; absent when the entry has none. */
@@ -36,7 +36,7 @@
 
 /** What one item says. */
 export type StoreRecord =
-  ConfigurationRecord | EndpointRecordOfStore | EvacuationRecord | UnusedRecord;
+  ConfigurationRecord | StoredEndpointRecord | EvacuationRecord | UnusedRecord;
 
 /** Reads an item; never throws. */
 export type RecordReader = (key: string, value: string) => StoreRecord;
--- a/src/store/snapshot-builder.ts
+++ b/src/store/snapshot-builder.ts
@@ -7,14 +7,14 @@
 import type { Endpoint } from '../model/resource.js';
 import { buildSnapshot, withEndpoints, type Snapshot } from '../model/snapshot.js';
 import { EMPTY_DIGEST, NO_VERSION } from '../model/version.js';
-import { resolveCarriedEndpoint, type NamedEndpoint } from './carried-endpoints.js';
+import { resolveCarriedEndpoint, type EndpointEntry } from './carried-endpoints.js';
 import type { ConfigurationRecord, RecordReader, StoreRecord } from './configuration-record.js';
 import { shortKey, type ItemFault, type RefusedItem } from './item-fault.js';
 import type { StoreChange } from './key-value-store.js';
 import { eraOf } from './store-revision.js';
 
 /** An item, read once. */
-interface ReadItem {
+interface ParsedItem {
   readonly revision: number;
   readonly value: string;
   readonly record: StoreRecord;
@@ -23,7 +23,7 @@
 /** The endpoints and evacuated zones that the items describe. */
 interface EndpointState {
   /** Endpoints by item key. */
-  readonly endpoints: Map<string, NamedEndpoint>;
+  readonly endpoints: Map<string, EndpointEntry>;
   readonly evacuatedZones: Set<string>;
 }
 
@@ -39,15 +39,15 @@
  * Endpoints by address. The entry of an endpoint that ended may stand for seconds beside that of the
  * one which has its address now: only the entry written last speaks for an address.
  */
-class AddressedEndpoints {
-  private readonly latest = new Map<string, NamedEndpoint>();
+class EndpointsByAddress {
+  private readonly latest = new Map<string, EndpointEntry>();
 
-  add(named: NamedEndpoint): void {
-    const { endpoint, revision } = named;
+  add(entry: EndpointEntry): void {
+    const { endpoint, revision } = entry;
     const address = `${endpoint.spec.address}:${endpoint.spec.port}`;
     const held = this.latest.get(address);
     if (held === undefined || held.revision < revision) {
-      this.latest.set(address, named);
+      this.latest.set(address, entry);
     }
   }
 
@@ -58,12 +58,12 @@
 
 /** Builds the snapshots of one node. */
 export class SnapshotBuilder {
-  private readonly readItems = new Map<string, ReadItem>();
+  private readonly parsedItems = new Map<string, ParsedItem>();
   /** Parsed records of carried changes. */
   private readonly carriedRecords = new WeakMap<StoreChange, StoreRecord>();
   /** The newest configuration, validated and indexed once, without endpoints. */
-  private configured: Snapshot | undefined;
-  private configuredNumber = 0;
+  private currentConfiguration: Snapshot | undefined;
+  private currentNumber = 0;
   /** The latest one that does not hold together, so that it is validated and told only once. */
   private refusedCandidate: ConfigurationRecord | undefined;
   private latest: Snapshot | undefined;
@@ -77,10 +77,10 @@
   build(items: Iterable<StoreChange>, carried: readonly StoreChange[] = []): BuildResult {
     const refused: RefusedItem[] = [];
     const state: EndpointState = { endpoints: new Map(), evacuatedZones: new Set() };
-    const seen = new Set<string>();
+    const keys = new Set<string>();
     carried.forEach((change) => this.cacheCarriedRecord(change));
     for (const item of items) {
-      seen.add(item.key);
+      keys.add(item.key);
       const record = this.recordOf(item, refused);
       if (record.kind === 'configuration') {
         this.adopt(record, item, refused);
@@ -88,7 +88,7 @@
         addRecord(state, item, record);
       }
     }
-    this.forgetExcept(seen);
+    this.retainOnly(keys);
     carried.forEach((change) => this.applyCarried(state, change));
     const { endpoints, evacuatedZones } = state;
     return { snapshot: this.snapshotWith([...endpoints.values()], evacuatedZones), refused };
@@ -98,8 +98,8 @@
   private cacheCarriedRecord(change: StoreChange): void {
     const { key, value } = change;
     if (value !== undefined && !this.carriedRecords.has(change)) {
-      const known = this.readItems.get(key);
-      const record = known?.value === value ? known.record : this.read(key, value);
+      const cached = this.parsedItems.get(key);
+      const record = cached?.value === value ? cached.record : this.read(key, value);
       this.carriedRecords.set(change, record);
     }
   }
@@ -123,32 +123,32 @@
 
   private recordOf(item: StoreChange, refused: RefusedItem[]): StoreRecord {
     const { key, revision, value = '' } = item;
-    const known = this.readItems.get(key);
-    if (known?.revision === revision) {
-      return known.record;
+    const cached = this.parsedItems.get(key);
+    if (cached?.revision === revision) {
+      return cached.record;
     }
-    const record = isUnchangedAcrossEras(item, known) ? known.record : this.read(key, value);
-    this.readItems.set(key, { revision, value, record });
+    const record = isUnchangedAcrossEras(item, cached) ? cached.record : this.read(key, value);
+    this.parsedItems.set(key, { revision, value, record });
     if (record.kind === 'unused' && record.fault !== undefined) {
-      refused.push(refusal(item, record.fault));
+      refused.push(refusedItem(item, record.fault));
     }
     return record;
   }
 
   private adopt(candidate: ConfigurationRecord, item: StoreChange, refused: RefusedItem[]): void {
     const { number, resources, callerLimits } = candidate;
-    if (number <= this.configuredNumber || candidate === this.refusedCandidate) {
+    if (number <= this.currentNumber || candidate === this.refusedCandidate) {
       return;
     }
     try {
-      this.configured = buildSnapshot(versionOf(candidate), resources, callerLimits);
-      this.configuredNumber = number;
+      this.currentConfiguration = buildSnapshot(versionOf(candidate), resources, callerLimits);
+      this.currentNumber = number;
     } catch (error) {
       if (!(error instanceof InvalidConfigurationError)) {
         throw error;
       }
       this.refusedCandidate = candidate;
-      refused.push(refusal(item, faultOf(error)));
+      refused.push(refusedItem(item, faultOf(error)));
     }
   }
 
@@ -157,21 +157,21 @@
    * address of no other.
    */
   private snapshotWith(
-    named: readonly NamedEndpoint[],
+    entries: readonly EndpointEntry[],
     evacuatedZones: ReadonlySet<string>,
   ): Snapshot | undefined {
-    if (this.configured === undefined) {
+    if (this.currentConfiguration === undefined) {
       return undefined;
     }
-    const { services } = this.configured;
-    const endpoints = new AddressedEndpoints();
-    for (const entry of named) {
+    const { services } = this.currentConfiguration;
+    const endpoints = new EndpointsByAddress();
+    for (const entry of entries) {
       if (services.has(entry.endpoint.spec.service)) {
         endpoints.add(entry);
       }
     }
     this.latest = withEndpoints(
-      this.configured,
+      this.currentConfiguration,
       { endpoints: endpoints.current(), evacuatedZones },
       this.latest,
     );
@@ -179,13 +179,13 @@
   }
 
   /** All of `keys` have been read: where there are as many as read ones, none is to be forgotten. */
-  private forgetExcept(keys: ReadonlySet<string>): void {
-    if (keys.size === this.readItems.size) {
+  private retainOnly(keys: ReadonlySet<string>): void {
+    if (keys.size === this.parsedItems.size) {
       return;
     }
-    for (const key of [...this.readItems.keys()]) {
+    for (const key of [...this.parsedItems.keys()]) {
       if (!keys.has(key)) {
-        this.readItems.delete(key);
+        this.parsedItems.delete(key);
       }
     }
   }
@@ -197,9 +197,9 @@
  */
 function isUnchangedAcrossEras(
   { revision, value }: StoreChange,
-  known: ReadItem | undefined,
-): known is ReadItem {
-  return known?.value === value && eraOf(known?.revision ?? 0) !== eraOf(revision);
+  cached: ParsedItem | undefined,
+): cached is ParsedItem {
+  return cached?.value === value && eraOf(cached?.revision ?? 0) !== eraOf(revision);
 }
 
 function addRecord(
@@ -219,7 +219,7 @@
   return { source: { number, digest: EMPTY_DIGEST }, operator: NO_VERSION };
 }
 
-function refusal({ key, revision }: StoreChange, fault: ItemFault): RefusedItem {
+function refusedItem({ key, revision }: StoreChange, fault: ItemFault): RefusedItem {
   return { key: shortKey(key), revision, fault };
 }
 
--- a/src/store/store-follower.ts
+++ b/src/store/store-follower.ts
@@ -1,36 +1,34 @@
 /**
- * Follows a store: makes the calls that {@link StoreWatch} decides on and keeps a replica up to date.
- * It can be paused while the replica is kept up to date by other means.
+ * Follows a store: executes the calls that {@link StoreWatch} schedules and applies their answers to a replica. Can
+ * be paused while the replica is updated by other means.
  */
 import csp, { type Channel } from 'js-csp';
 import type { RandomSource } from '../control/control-event.js';
 import type { RefusedItem } from './item-fault.js';
 import type { KeyValueStore, ProgressListener } from './key-value-store.js';
 import type { StoreReplica } from './store-replica.js';
-import { StoreWatch, type StoreAnswer, type StoreCall, type StoreLearning } from './store-watch.js';
+import { StoreWatch, type StoreAnswer, type StoreCall, type StoreUpdate } from './store-watch.js';
 
-/** Why an answer counts as a failure that is none by itself. */
-const NO_WAY_ON_REASON = 'a list without a way on';
+/** Logged for a page that counts as a failed call because it makes no progress. */
+const NO_CONTINUATION_REASON = 'list page makes no progress';
 
-/** What a follower needs of its node. */
 export interface StoreFollowerOptions {
   readonly store: KeyValueStore;
   readonly replica: StoreReplica;
   readonly random: RandomSource;
-  /** Longest time that a watch waits for a change, in milliseconds. */
+  /** Maximum time that a watch waits for a change, in milliseconds. */
   readonly watchWaitMs: number;
-  /** Called after each answer that taught something; `hasChanged` when an item changed. */
-  readonly onLearned: (hasChanged: boolean) => void;
+  /** Called after each answer that was applied to the replica; `hasChanged` is whether an item changed. */
+  readonly onUpdate: (hasChanged: boolean) => void;
   readonly onProgress: ProgressListener;
-  /** Called with the items that an answer held and that can't be taken. */
+  /** Called with the rejected items of an answer. */
   readonly onRefused: (items: readonly RefusedItem[]) => void;
-  /** Called after each call that failed. */
+  /** Called after each failed call. */
   readonly onFailed: () => void;
-  /** Called when the store was lost or found again. */
+  /** Called when the connection to the store is lost or restored. */
   readonly onConnection: (isConnected: boolean, reason: string) => void;
 }
 
-/** The process that follows the store. */
 export class StoreFollower {
   private readonly watch: StoreWatch;
   private readonly closed: Channel<boolean> = csp.chan();
@@ -42,19 +40,18 @@
     this.watch = new StoreWatch(options.random);
   }
 
-  /** Begins to follow. */
   start(): void {
     csp.go(follow, [this, this.watch.start(), this.closed]);
   }
 
-  /** Ends following and closes the connections to the store. */
+  /** Stops following and closes the connections to the store. */
   close(): void {
     this.closed.close();
     this.resumed.close();
     this.options.store.close();
   }
 
-  /** Begins no further call, or goes on from what the replica holds by then. */
+  /** Pauses before the next call, or resumes from the replica's revision at that time. */
   setReading(isReading: boolean): void {
     this.isReading = isReading;
     if (isReading) {
@@ -66,7 +63,7 @@
     return !this.isReading;
   }
 
-  /** Waits for {@link setReading}, or the end. */
+  /** Receives a value when {@link setReading} resumes the follower; closed by {@link close}. */
   get whenResumed(): Channel<boolean> {
     return this.resumed;
   }
@@ -76,7 +73,7 @@
     return this.watch.resume(this.options.replica.revision);
   }
 
-  /** Makes a call and gives its answer to the returned channel. */
+  /** Executes a call; the returned channel receives its answer. */
   call(call: StoreCall): Channel<StoreAnswer> {
     const answers: Channel<StoreAnswer> = csp.chan(1);
     const { store, watchWaitMs, onProgress } = this.options;
@@ -88,9 +85,9 @@
     return answers;
   }
 
-  /** Takes an answer; gives the next call. */
-  take(answer: StoreAnswer): StoreCall {
-    const { call, learning } = this.watch.take(answer);
+  /** Handles an answer; returns the next call. */
+  handleAnswer(answer: StoreAnswer): StoreCall {
+    const { call, update } = this.watch.handleAnswer(answer);
     this.reportConnection(answer);
     if (!this.watch.isConnected) {
       this.options.onFailed();
@@ -98,17 +95,17 @@
     if ('refused' in answer && answer.refused !== undefined) {
       this.options.onRefused(answer.refused);
     }
-    if (learning !== undefined) {
-      this.options.onLearned(this.learn(learning));
+    if (update !== undefined) {
+      this.options.onUpdate(this.applyUpdate(update));
     }
     return call;
   }
 
-  private learn(learning: StoreLearning): boolean {
+  private applyUpdate(update: StoreUpdate): boolean {
     const { replica } = this.options;
-    return learning.type === 'list'
-      ? replica.takeList(learning.items, learning.revision)
-      : replica.takeChanges(learning.changes, learning.revision);
+    return update.type === 'list'
+      ? replica.applyList(update.items, update.revision)
+      : replica.applyChanges(update.changes, update.revision);
   }
 
   private reportConnection(answer: StoreAnswer): void {
@@ -121,7 +118,7 @@
 }
 
 function reasonOf(answer: StoreAnswer): string {
-  return answer.outcome === 'unavailable' ? answer.reason : NO_WAY_ON_REASON;
+  return answer.outcome === 'unavailable' ? answer.reason : NO_CONTINUATION_REASON;
 }
 
 function* follow(
@@ -141,7 +138,7 @@
     }
     const answer: StoreAnswer = yield csp.take(follower.call(call));
     if (!closed.isClosed()) {
-      call = follower.take(answer);
+      call = follower.handleAnswer(answer);
     }
   }
 }
--- a/src/store/store-replica.ts
+++ b/src/store/store-replica.ts
@@ -44,7 +44,7 @@
   private removalsKnownFrom = 0;
   private gaps: Gap[] = [];
   /** The versions before the current ones of long texts, by key. */
-  private readonly before = new Map<string, StoreChange>();
+  private readonly previousVersions = new Map<string, StoreChange>();
   private readonly carried: CarriedChanges;
   /** Revision of the first list of the era; higher revisions were written during the era. */
   private eraStartRevision = 0;
@@ -88,7 +88,7 @@
    * to a revision between the two is given the whole state. A list may also be older than the replica, as
    * the first one of the store beside the state that a peer told: what is gone since is not taken.
    */
-  takeList(items: readonly StoreChange[], revision: number): boolean {
+  applyList(items: readonly StoreChange[], revision: number): boolean {
     this.updates += 1;
     const isNewEra = this.completeUpTo > 0 && eraOf(revision) > eraOf(this.completeUpTo);
     if (isNewEra) {
@@ -96,8 +96,8 @@
     }
     const listed = new Set(items.map(({ key }) => key));
     const inOrder = [...items].sort((left, right) => left.revision - right.revision);
-    let hasChanged = this.takeEach(
-      revision < this.completeUpTo ? inOrder.filter((item) => !this.isKnownGone(item)) : inOrder,
+    let hasChanged = this.applyEach(
+      revision < this.completeUpTo ? inOrder.filter((item) => !this.isKnownRemoved(item)) : inOrder,
     );
     hasChanged ||= isNewEra;
     for (const { key, revision: heldRevision, value } of [...this.changes.values()]) {
@@ -107,27 +107,27 @@
         hasChanged = true;
       }
     }
-    this.noteGap({ afterRevision: this.completeUpTo, revision });
+    this.recordGap({ afterRevision: this.completeUpTo, revision });
     this.completeUpTo = Math.max(this.completeUpTo, revision);
     return hasChanged;
   }
 
   /** Takes what a watch told; true when an item changed. */
-  takeChanges(changes: readonly StoreChange[], revision: number): boolean {
+  applyChanges(changes: readonly StoreChange[], revision: number): boolean {
     this.updates += 1;
-    const hasChanged = this.takeEach(changes.filter((change) => !this.isKnownGone(change)));
+    const hasChanged = this.applyEach(changes.filter((change) => !this.isKnownRemoved(change)));
     this.completeUpTo = Math.max(this.completeUpTo, revision);
-    this.forgetRemovals();
+    this.pruneRemovals();
     return hasChanged;
   }
 
   /** Takes what a peer told; true when an item changed. A delta with a gap before it is not taken. */
-  takeDelta(delta: ReplicaDelta): boolean {
+  applyDelta(delta: ReplicaDelta): boolean {
     if (delta.sinceRevision === 0) {
-      return delta.revision > this.completeUpTo && this.takeList(existing(delta), delta.revision);
+      return delta.revision > this.completeUpTo && this.applyList(existing(delta), delta.revision);
     }
     return (
-      delta.sinceRevision <= this.completeUpTo && this.takeChanges(delta.changes, delta.revision)
+      delta.sinceRevision <= this.completeUpTo && this.applyChanges(delta.changes, delta.revision)
     );
   }
 
@@ -139,8 +139,8 @@
   }
 
   /** The item of `key` before its last change; undefined unless its text is long. */
-  versionBefore(key: string): StoreChange | undefined {
-    return this.before.get(key);
+  previousVersion(key: string): StoreChange | undefined {
+    return this.previousVersions.get(key);
   }
 
   /** The item of `key`, or its removal. */
@@ -152,7 +152,7 @@
    * Whether the item of an older change is gone, though its removal is not remembered: the replica would
    * hold it otherwise.
    */
-  private isKnownGone({ key, revision }: StoreChange): boolean {
+  private isKnownRemoved({ key, revision }: StoreChange): boolean {
     return revision <= this.completeUpTo && !this.changes.has(key);
   }
 
@@ -173,13 +173,13 @@
     this.eraStartRevision = revision;
     this.changes.clear();
     this.log.clear();
-    this.before.clear();
+    this.previousVersions.clear();
     this.gaps = [];
     this.removalCount = 0;
     this.removalsKnownFrom = 0;
   }
 
-  private noteGap(gap: Gap): void {
+  private recordGap(gap: Gap): void {
     if (gap.afterRevision === 0) {
       this.removalsKnownFrom = Math.max(this.removalsKnownFrom, gap.revision);
     } else if (gap.revision > gap.afterRevision) {
@@ -191,7 +191,7 @@
     }
   }
 
-  private takeEach(changes: readonly StoreChange[]): boolean {
+  private applyEach(changes: readonly StoreChange[]): boolean {
     let hasChanged = false;
     for (const change of changes) {
       const held = this.changes.get(change.key);
@@ -209,20 +209,20 @@
     if (change.revision > this.eraStartRevision) {
       this.carried.drop(change.key);
     }
-    this.keepBefore(change.key, held);
+    this.retainPrevious(change.key, held);
     this.changes.set(change.key, change);
     this.log.add(change, this.changes.size);
   }
 
-  private keepBefore(key: string, held: StoreChange | undefined): void {
+  private retainPrevious(key: string, held: StoreChange | undefined): void {
     if (held?.value !== undefined && held.value.length >= LONG_TEXT_LENGTH) {
-      this.before.set(key, held);
+      this.previousVersions.set(key, held);
     } else {
-      this.before.delete(key);
+      this.previousVersions.delete(key);
     }
   }
 
-  private forgetRemovals(): void {
+  private pruneRemovals(): void {
     if (this.removalCount <= MAX_REMOVALS) {
       return;
     }
--- a/src/store/store-watch.ts
+++ b/src/store/store-watch.ts
@@ -19,7 +19,7 @@
 /** Longest pause between two calls, in milliseconds. */
 const MAX_BACK_OFF_MS = 800;
 /** Pause between the answer of a watch and the next one, in milliseconds: changes gather meanwhile. */
-const GATHER_MS = 150;
+const BATCH_DELAY_MS = 150;
 
 /** Pages of one list at most: hundreds of times the items of a large fleet. */
 const MAX_PAGES = 200;
@@ -35,7 +35,7 @@
 );
 
 /** What an answer taught. */
-export type StoreLearning =
+export type StoreUpdate =
   /** The whole content, as of a list that was begun at `revision`. */
   | {
       readonly type: 'list';
@@ -54,11 +54,11 @@
 /** The next call, and what the last answer taught. */
 export interface StoreStep {
   readonly call: StoreCall;
-  readonly learning: StoreLearning | undefined;
+  readonly update: StoreUpdate | undefined;
 }
 
 /** Pages of a list that is under way. */
-interface PartialList {
+interface PendingList {
   readonly items: StoreChange[];
   /** Least revision of the pages so far: what changed since must be watched for. */
   revision: number;
@@ -69,7 +69,7 @@
 
 /** One node's list and watches. */
 export class StoreWatch {
-  private partial: PartialList | undefined;
+  private pending: PendingList | undefined;
   private revision: number | undefined;
   /** The first list may lag: the watch after it brings the rest. Not so when that had no history. */
   private listFreshness: ListFreshness = 'lagging';
@@ -96,18 +96,18 @@
   }
 
   /** Takes the answer to the last call. */
-  take(answer: StoreAnswer): StoreStep {
-    if (answer.outcome === 'unavailable' || this.leadsNowhere(answer)) {
+  handleAnswer(answer: StoreAnswer): StoreStep {
+    if (answer.outcome === 'unavailable' || this.makesNoProgress(answer)) {
       this.failures += 1;
-      this.partial = undefined;
-      return { call: this.nextCall(this.backOffMs()), learning: undefined };
+      this.pending = undefined;
+      return { call: this.nextCall(this.backOffMs()), update: undefined };
     }
     this.failures = 0;
     switch (answer.outcome) {
       case 'page':
-        return this.takePage(answer);
+        return this.handlePage(answer);
       case 'changes':
-        return this.takeChanges(answer);
+        return this.handleChanges(answer);
       case 'history-lost':
         return this.restartList();
     }
@@ -115,48 +115,48 @@
 
   /** Restarts with a current list, since a watch cannot supply the changes that a lagging list lacks. */
   private restartList(): StoreStep {
-    this.partial = undefined;
+    this.pending = undefined;
     this.revision = undefined;
     this.listFreshness = 'current';
-    return { call: this.nextCall(0), learning: undefined };
+    return { call: this.nextCall(0), update: undefined };
   }
 
   /** A page that promises another one without a way on: such a list would never end. */
-  private leadsNowhere(answer: StoreAnswer): boolean {
+  private makesNoProgress(answer: StoreAnswer): boolean {
     if (answer.outcome !== 'page' || !answer.hasMore) {
       return false;
     }
     const lastKey = lastKeyOf(answer);
-    const { afterKey, pageCount = 0 } = this.partial ?? {};
+    const { afterKey, pageCount = 0 } = this.pending ?? {};
     return lastKey === undefined || lastKey === afterKey || pageCount >= MAX_PAGES;
   }
 
-  private takePage(page: ListPage): StoreStep {
-    const partial = this.partial ?? emptyList(page.revision);
-    if (eraOf(page.revision) !== eraOf(partial.revision)) {
+  private handlePage(page: ListPage): StoreStep {
+    const pending = this.pending ?? emptyList(page.revision);
+    if (eraOf(page.revision) !== eraOf(pending.revision)) {
       return this.restartList();
     }
-    partial.items.push(...page.items);
-    partial.revision = Math.min(partial.revision, page.revision);
-    partial.pageCount += 1;
+    pending.items.push(...page.items);
+    pending.revision = Math.min(pending.revision, page.revision);
+    pending.pageCount += 1;
     const lastKey = lastKeyOf(page);
     if (page.hasMore) {
-      partial.afterKey = lastKey;
-      this.partial = partial;
+      pending.afterKey = lastKey;
+      this.pending = pending;
       const { listFreshness: freshness } = this;
       const call = { type: 'list', afterKey: lastKey, freshness, delayMs: 0 } as const;
-      return { call, learning: undefined };
+      return { call, update: undefined };
     }
-    this.partial = undefined;
-    this.revision = partial.revision;
-    const { items, revision } = partial;
-    return { call: this.nextCall(0), learning: { type: 'list', items, revision } };
+    this.pending = undefined;
+    this.revision = pending.revision;
+    const { items, revision } = pending;
+    return { call: this.nextCall(0), update: { type: 'list', items, revision } };
   }
 
-  private takeChanges({ changes, refused, revision }: WatchBatch): StoreStep {
+  private handleChanges({ changes, refused, revision }: WatchBatch): StoreStep {
     this.revision = Math.max(this.revision ?? 0, revision);
-    const delayMs = changes.length > 0 || refused !== undefined ? GATHER_MS : 0;
-    return { call: this.nextCall(delayMs), learning: { type: 'changes', changes, revision } };
+    const delayMs = changes.length > 0 || refused !== undefined ? BATCH_DELAY_MS : 0;
+    return { call: this.nextCall(delayMs), update: { type: 'changes', changes, revision } };
   }
 
   private nextCall(delayMs: number): StoreCall {
@@ -167,12 +167,12 @@
 
   /** Nodes that lost the store together come back spread out. */
   private backOffMs(): number {
-    const longest = Math.min(MAX_BACK_OFF_MS, FIRST_BACK_OFF_MS * 2 ** (this.failures - 1));
-    return longest * (0.5 + this.random() / 2);
+    const maxDelayMs = Math.min(MAX_BACK_OFF_MS, FIRST_BACK_OFF_MS * 2 ** (this.failures - 1));
+    return maxDelayMs * (0.5 + this.random() / 2);
   }
 }
 
-function emptyList(revision: number): PartialList {
+function emptyList(revision: number): PendingList {
   return { items: [], revision, pageCount: 0, afterKey: undefined };
 }
 
--- a/src/store/text-patch.ts
+++ b/src/store/text-patch.ts
@@ -4,7 +4,7 @@
  */
 
 /** Texts are cut before this character, which begins each object of a JSON text. */
-const CUT = '{';
+const PIECE_START = '{';
 
 /**
  * Longest text that a patch may make, in characters. Many ranges of a long text would make one that no
@@ -30,9 +30,9 @@
   }
   const parts: PatchPart[] = [];
   for (const piece of piecesOf(newText)) {
-    const goesOnAt = endOfRange(parts.at(-1));
-    const goesOn = goesOnAt !== undefined && oldText.startsWith(piece, goesOnAt);
-    append(parts, piece, goesOn ? goesOnAt : startOf.get(piece));
+    const rangeEnd = endOfRange(parts.at(-1));
+    const continuesRange = rangeEnd !== undefined && oldText.startsWith(piece, rangeEnd);
+    append(parts, piece, continuesRange ? rangeEnd : startOf.get(piece));
   }
   return parts;
 }
@@ -85,7 +85,7 @@
 function* piecesOf(text: string): IterableIterator<string> {
   let start = 0;
   while (start < text.length) {
-    const next = text.indexOf(CUT, start + 1);
+    const next = text.indexOf(PIECE_START, start + 1);
     const end = next < 0 ? text.length : next;
     yield text.slice(start, end);
     start = end;
--- a/test/peers/feed-delta.test.ts
+++ b/test/peers/feed-delta.test.ts
@@ -11,7 +11,7 @@
 function replicaOf(versions: readonly number[]): StoreReplica {
   const replica = new StoreReplica();
   for (const revision of versions) {
-    replica.takeChanges([{ key: 'c', revision, value: longText(revision) }], revision);
+    replica.applyChanges([{ key: 'c', revision, value: longText(revision) }], revision);
   }
   return replica;
 }
@@ -41,7 +41,7 @@
     const delta = feedDeltaSince(replicaOf([1, 2]), 1);
     expect(resolveFeedDelta(new StoreReplica(), delta)).to.equal(undefined);
     const foreign = new StoreReplica();
-    foreign.takeChanges([{ key: 'c', revision: 1, value: 'short' }], 1);
+    foreign.applyChanges([{ key: 'c', revision: 1, value: 'short' }], 1);
     expect(resolveFeedDelta(foreign, delta)).to.equal(undefined);
   });
 });
--- a/test/peers/feed-fuzz.test.ts
+++ b/test/peers/feed-fuzz.test.ts
@@ -61,13 +61,13 @@
 function replica(): StoreReplica {
   const held = new StoreReplica();
   const changes = ['a', 'b', 'c'].map((key) => ({ key, revision: 2, value: `old ${key}` }));
-  held.takeChanges(changes, 2);
+  held.applyChanges(changes, 2);
   return held;
 }
 
 function take(delta: ReplicaDelta | undefined, held: StoreReplica): void {
   if (delta !== undefined) {
-    held.takeDelta(delta);
+    held.applyDelta(delta);
   }
   expect(Number.isSafeInteger(held.revision)).to.equal(true);
   for (const { key, revision, value } of held.items()) {
--- a/test/peers/told-delta.test.ts
+++ b/test/peers/told-delta.test.ts
@@ -15,7 +15,7 @@
 
 function replicaWith(value: string): StoreReplica {
   const replica = new StoreReplica();
-  replica.takeChanges([{ key: 'a', revision: 1, value }], 1);
+  replica.applyChanges([{ key: 'a', revision: 1, value }], 1);
   return replica;
 }
 
@@ -75,20 +75,20 @@
     const replica = replicaWith('old');
     const texts = new DeltaTexts(replica);
     texts.since(0);
-    replica.takeChanges([{ key: 'b', revision: 2, value: 'new' }], 2);
+    replica.applyChanges([{ key: 'b', revision: 2, value: 'new' }], 2);
     const follower = replicaWith('old');
     const told = decodeDelta(texts.since(1));
     const delta = told && resolveFeedDelta(follower, told);
-    expect(delta && follower.takeDelta(delta)).to.equal(true);
+    expect(delta && follower.applyDelta(delta)).to.equal(true);
     expect([...follower.items()]).to.deep.equal([...replica.items()]);
   });
 
   it('tell an older change that came late, at the same revision', () => {
     const replica = replicaWith('old');
     const texts = new DeltaTexts(replica);
-    replica.takeChanges([{ key: 'b', revision: 2, value: '2' }], 5);
+    replica.applyChanges([{ key: 'b', revision: 2, value: '2' }], 5);
     const before = texts.since(0);
-    replica.takeList(
+    replica.applyList(
       [
         { key: 'a', revision: 1, value: 'old' },
         { key: 'b', revision: 4, value: '4' },
--- a/test/platform/change-feed.test.ts
+++ b/test/platform/change-feed.test.ts
@@ -93,7 +93,7 @@
 
   beforeEach(async () => {
     replica = new StoreReplica();
-    replica.takeChanges([{ key: 'a', revision: 1, value: '1' }], 1);
+    replica.applyChanges([{ key: 'a', revision: 1, value: '1' }], 1);
     feed = new ChangeFeed({ replica, deltas: new DeltaTexts(replica), freshness: () => FRESHNESS });
     server = http.createServer((request, response) => {
       feed.subscribe(response, Number((request.url ?? '').slice(FEED_PATH.length)));
@@ -132,7 +132,7 @@
     const events: (FeedMessage | string)[] = [];
     const client = follow(events);
     await untilCount(events, 1);
-    replica.takeChanges([{ key: 'b', revision: 2, value: '2' }], 2);
+    replica.applyChanges([{ key: 'b', revision: 2, value: '2' }], 2);
     feed.publish();
     feed.publish();
     await untilCount(events, 3);
@@ -173,7 +173,7 @@
     }
     const value = randomBytes(768 * 1024).toString('base64');
     for (let revision = 2; revision < 40 && feed.followerCount > 0; revision += 1) {
-      replica.takeChanges([{ key: `k${revision}`, revision, value }], revision);
+      replica.applyChanges([{ key: `k${revision}`, revision, value }], revision);
       feed.publish();
       await pause(5);
     }
--- a/test/platform/store-fuzz.test.ts
+++ b/test/platform/store-fuzz.test.ts
@@ -159,7 +159,7 @@
 function replicaOf(items: readonly unknown[], at: number): StoreReplica {
   const replica = new StoreReplica();
   const { items: changes } = readListPage(JSON.stringify({ at, items }));
-  replica.takeList(changes, at);
+  replica.applyList(changes, at);
   return replica;
 }
 
@@ -172,7 +172,7 @@
   if (told === undefined) {
     throw new Error('the feed can not be read');
   }
-  follower.takeDelta(told);
+  follower.applyDelta(told);
   return follower;
 }
 
@@ -228,7 +228,7 @@
         builder.build(replica.items());
         const written = rawItem(key, 60, bytes);
         const { changes } = readWatchBatch(JSON.stringify({ at: 60, events: [written] }));
-        replica.takeChanges(changes, 60);
+        replica.applyChanges(changes, 60);
         const { snapshot } = builder.build(replica.items());
         const record = readRecord(key, replica.changeOf(key)?.value ?? '');
         if (record.kind === 'unused') {
--- a/test/source/platform-client.test.ts
+++ b/test/source/platform-client.test.ts
@@ -9,7 +9,7 @@
 type Handler = (request: IncomingMessage, response: ServerResponse) => void;
 
 const MAX_TEST_ANSWER_BYTES = 4_096;
-const LONG_MS = 30_000;
+const LONG_TIMEOUT_MS = 30_000;
 const service = { kind: 'service', name: 'tiles', spec: {} };
 const danglingRoute = {
   kind: 'route',
@@ -29,10 +29,10 @@
 
 /** A deadline that no test reaches, counted from the call. */
 function longDeadline(): number {
-  return performance.now() + LONG_MS;
+  return performance.now() + LONG_TIMEOUT_MS;
 }
 
-function sending(status: number, body: unknown, headers: Record<string, string> = {}): Handler {
+function respondWith(status: number, body: unknown, headers: Record<string, string> = {}): Handler {
   const text = typeof body === 'string' ? body : JSON.stringify(body);
   return (_request, response) => response.writeHead(status, headers).end(text);
 }
@@ -40,7 +40,7 @@
 /** A platform with one handler, which records its open connections. */
 class TestPlatform {
   openConnections = 0;
-  mostConnections = 0;
+  peakConnections = 0;
   requests = 0;
   private constructor(private readonly server: Server) {}
 
@@ -50,7 +50,7 @@
     server.on('request', () => (platform.requests += 1));
     server.on('connection', (socket) => {
       platform.openConnections += 1;
-      platform.mostConnections = Math.max(platform.mostConnections, platform.openConnections);
+      platform.peakConnections = Math.max(platform.peakConnections, platform.openConnections);
       socket.once('close', () => (platform.openConnections -= 1));
     });
     server.listen(0, '127.0.0.1');
@@ -88,71 +88,71 @@
 const cases: readonly AnswerCase[] = [
   {
     name: 'a document',
-    handler: sending(200, { version: 7, resources: [service] }),
+    handler: respondWith(200, { version: 7, resources: [service] }),
     expected: ['document', 7, undefined],
   },
   {
     name: 'a machine list',
     document: 'machines',
-    handler: sending(200, { version: 3, machines: [machine] }),
+    handler: respondWith(200, { version: 3, machines: [machine] }),
     expected: ['document', 3, undefined],
   },
   {
     name: 'a machine twice',
     document: 'machines',
-    handler: sending(200, { version: 3, machines: [machine, machine] }),
+    handler: respondWith(200, { version: 3, machines: [machine, machine] }),
     expected: ['invalid', 3, 'machine/m1'],
   },
   {
     name: 'a bad machine',
     document: 'machines',
-    handler: sending(200, { version: 3, machines: [{ ...machine, address: 'host' }] }),
+    handler: respondWith(200, { version: 3, machines: [{ ...machine, address: 'host' }] }),
     expected: ['invalid', 3, 'machines.0.address'],
   },
   {
     name: '304',
     known: 4,
-    handler: sending(304, ''),
+    handler: respondWith(304, ''),
     expected: ['not-modified', undefined, undefined],
   },
-  { name: '304 to an unconditional read', handler: sending(304, ''), expected: UNAVAILABLE },
+  { name: '304 to an unconditional read', handler: respondWith(304, ''), expected: UNAVAILABLE },
   {
     name: 'a dangling route',
-    handler: sending(200, { version: 8, resources: [danglingRoute] }),
+    handler: respondWith(200, { version: 8, resources: [danglingRoute] }),
     expected: ['invalid', 8, 'route/map'],
   },
   {
     name: 'an unknown key',
-    handler: sending(200, { version: 8, resources: [], extra: 1 }),
+    handler: respondWith(200, { version: 8, resources: [], extra: 1 }),
     expected: ['invalid', 8, ''],
   },
   {
     name: 'malformed JSON',
-    handler: sending(200, '{"version":'),
+    handler: respondWith(200, '{"version":'),
     expected: ['invalid', 0, 'body'],
   },
-  { name: 'JSON null', handler: sending(200, 'null'), expected: ['invalid', 0, ''] },
+  { name: 'JSON null', handler: respondWith(200, 'null'), expected: ['invalid', 0, ''] },
   {
     name: 'an oversized answer',
-    handler: sending(200, ' '.repeat(MAX_TEST_ANSWER_BYTES + 1)),
+    handler: respondWith(200, ' '.repeat(MAX_TEST_ANSWER_BYTES + 1)),
     expected: ['invalid', 0, 'body'],
   },
   {
     name: '503 with Retry-After',
-    handler: sending(503, '', { 'retry-after': '2' }),
+    handler: respondWith(503, '', { 'retry-after': '2' }),
     expected: ['unavailable', 2_000, undefined],
   },
   {
     name: '503 with an absurd Retry-After',
-    handler: sending(503, '', { 'retry-after': '99999999' }),
+    handler: respondWith(503, '', { 'retry-after': '99999999' }),
     expected: ['unavailable', MAX_RETRY_AFTER_MS, undefined],
   },
   {
     name: '503 with a malformed Retry-After',
-    handler: sending(503, '', { 'retry-after': 'soon' }),
+    handler: respondWith(503, '', { 'retry-after': 'soon' }),
     expected: UNAVAILABLE,
   },
-  { name: '500', handler: sending(500, 'x'), expected: UNAVAILABLE },
+  { name: '500', handler: respondWith(500, 'x'), expected: UNAVAILABLE },
   { name: 'a reset before the answer', handler: (r) => r.socket.destroy(), expected: UNAVAILABLE },
   {
     name: 'a body cut short',
@@ -194,15 +194,15 @@
   }
 
   it('asks conditionally, at the URL of the document', async () => {
-    const seen: unknown[] = [];
+    const received: unknown[] = [];
     const platform = await TestPlatform.start((request, response) => {
-      seen.push([request.url, request.headers['if-none-match']]);
+      received.push([request.url, request.headers['if-none-match']]);
       response.writeHead(304).end();
     });
     const client = platform.client();
     await client.read('source', 12, longDeadline());
     await client.read('machines', 0, longDeadline());
-    expect(seen).to.deep.equal([
+    expect(received).to.deep.equal([
       ['/configuration', '"12"'],
       ['/machines', undefined],
     ]);
@@ -210,19 +210,19 @@
   });
 
   it('never quotes the text of a malformed answer', async () => {
-    const platform = await TestPlatform.start(sending(200, 'hunter2 {'));
+    const platform = await TestPlatform.start(respondWith(200, 'hunter2 {'));
     const answer = await platform.client().read('source', 0, longDeadline());
     expect(JSON.stringify(answer)).to.not.contain('hunter2');
     await platform.stop();
   });
 
   it('opens one connection at a time, and keeps none', async () => {
-    const platform = await TestPlatform.start(sending(200, { version: 1, resources: [] }));
+    const platform = await TestPlatform.start(respondWith(200, { version: 1, resources: [] }));
     const client = platform.client();
     const reads = Array.from({ length: 5 }, () => client.read('source', 0, longDeadline()));
     const answers = await Promise.all(reads);
     expect(answers.map((answer) => answer.outcome)).to.deep.equal(Array(5).fill('document'));
-    expect(platform.mostConnections).to.equal(1);
+    expect(platform.peakConnections).to.equal(1);
     await platform.stop();
   });
 
@@ -234,13 +234,13 @@
   });
 
   it('close() ends the read that runs and those that wait; a later read works', async () => {
-    let hanging = true;
+    let isHanging = true;
     const platform = await TestPlatform.start((request, response) => {
-      if (hanging) {
+      if (isHanging) {
         client.close();
         return;
       }
-      sending(200, { version: 1, resources: [] })(request, response);
+      respondWith(200, { version: 1, resources: [] })(request, response);
     });
     const client = platform.client();
     const answers = await Promise.all([
@@ -249,24 +249,24 @@
     ]);
     expect(answers.map((answer) => answer.outcome)).to.deep.equal(['unavailable', 'unavailable']);
     expect(platform.requests).to.equal(1);
-    hanging = false;
+    isHanging = false;
     expect((await client.read('source', 0, longDeadline())).outcome).to.equal('document');
     await platform.stop();
   });
 
   it('sends nothing when the time limit passed while the process was stopped', async () => {
-    const platform = await TestPlatform.start(sending(200, { version: 1, resources: [] }));
+    const platform = await TestPlatform.start(respondWith(200, { version: 1, resources: [] }));
     // The clock jumps after the request was made and before its connection is up.
     const times = [0, 1];
-    const client = platform.client({ now: () => times.shift() ?? LONG_MS });
-    const answer = await client.read('source', 0, LONG_MS);
+    const client = platform.client({ now: () => times.shift() ?? LONG_TIMEOUT_MS });
+    const answer = await client.read('source', 0, LONG_TIMEOUT_MS);
     expect(answer.outcome).to.equal('unavailable');
     expect(platform.requests).to.equal(0);
     await platform.stop();
   });
 
   it('answers unavailable when nothing listens', async () => {
-    const platform = await TestPlatform.start(sending(200, ''));
+    const platform = await TestPlatform.start(respondWith(200, ''));
     const client = platform.client();
     await platform.stop();
     expect((await client.read('source', 0, longDeadline())).outcome).to.equal('unavailable');
--- a/test/source/reader-fuzz.test.ts
+++ b/test/source/reader-fuzz.test.ts
@@ -16,18 +16,18 @@
   pause: (world, a) => world.pause(a % world.processes.length),
   resume: (world, a) => world.resume(a % world.processes.length),
   stop: (world, a) => world.stop(a % world.processes.length),
-  learn: (world, a) => world.learnList(a % world.processes.length),
-  unlink: (world, a) => world.closeLinks(a % world.processes.length),
+  learnList: (world, a) => world.learnList(a % world.processes.length),
+  closeLinks: (world, a) => world.closeLinks(a % world.processes.length),
   cut: (world, a, b) => world.cut(a % world.processes.length, b % world.processes.length),
   split: (world) => split(world),
   heal: (world) => world.heal(),
-  clocks: (world, a) => world.setClocksForward(a % 20_000),
-  herd: (world) => world.processes.forEach((_, one) => one % 2 === 0 && world.restart(one)),
+  setClocksForward: (world, a) => world.setClocksForward(a % 20_000),
+  restartEven: (world) => world.processes.forEach((_, one) => one % 2 === 0 && world.restart(one)),
   pauseHolder: (world) => world.pause(holderIndex(world)),
-  nap: (world, a) => nap(world, a % 12_000),
-  succession: (world) => succeed(world),
+  pauseHolderFor: (world, a) => pauseHolderFor(world, a % 12_000),
+  replaceElectors: (world) => replaceElectors(world),
   publish: (world, a) => world.processes.length < MAX_MACHINES && world.publish(a % 2 === 0),
-  weather: (world, a, b) => {
+  changeConditions: (world, a, b) => {
     world.platformUp = b % 2 === 0;
     world.latencyMs = LATENCIES_MS[a % LATENCIES_MS.length] ?? 20;
   },
@@ -42,18 +42,18 @@
   pause: 1,
   resume: 1,
   stop: 1,
-  learn: 1,
-  unlink: 1,
+  learnList: 1,
+  closeLinks: 1,
   cut: 3,
   split: 0.25,
   heal: 0.25,
-  clocks: 0.5,
-  herd: 0.25,
+  setClocksForward: 0.5,
+  restartEven: 0.25,
   pauseHolder: 1,
-  nap: 4,
-  succession: 0.25,
+  pauseHolderFor: 4,
+  replaceElectors: 0.25,
   publish: 2,
-  weather: 2,
+  changeConditions: 2,
 };
 const LATENCIES_MS = [20, 20, 300, 900, 2_500];
 
@@ -75,7 +75,7 @@
 }
 
 /** Pauses a holder for a while. */
-function nap(world: ReaderWorld, ms: number): void {
+function pauseHolderFor(world: ReaderWorld, ms: number): void {
   const holder = holderIndex(world);
   world.pause(holder);
   world.advance(ms);
@@ -83,7 +83,7 @@
 }
 
 /** Three electors die, and the list that says so reaches the others at once. */
-function succeed(world: ReaderWorld): void {
+function replaceElectors(world: ReaderWorld): void {
   const holder = holderIndex(world);
   const isElector = new Set(
     world
@@ -120,19 +120,23 @@
 
 type Script = typeof script extends fc.Arbitrary<infer T> ? T : never;
 
-function totals(): { steps: number; reads: number } {
+function emptyTotals(): { steps: number; reads: number } {
   return { steps: 0, reads: 0 };
 }
 
-function fuzz(runs: number, endOnFailure: boolean, seen = totals()): fc.RunDetails<[Script]> {
+function fuzz(
+  runs: number,
+  endOnFailure: boolean,
+  totals = emptyTotals(),
+): fc.RunDetails<[Script]> {
   const property = fc.property(script, ({ seed, machines, share, isListed, steps }) => {
     const readerShares = { a: share };
     const world = new ReaderWorld({ seed, machines, readerShares, seeds: 3, isListed });
     world.advance(20_000);
     steps.forEach(({ name, a, b }) => ACTIONS[name](world, a, b));
     world.advance(10_000);
-    seen.steps += steps.length;
-    seen.reads += world.processes.reduce((sum, process) => sum + process.reads, 0);
+    totals.steps += steps.length;
+    totals.reads += world.processes.reduce((sum, process) => sum + process.reads, 0);
   });
   return fc.check(property, { seed: SEED, numRuns: runs, endOnFailure });
 }
@@ -140,7 +144,7 @@
 describe('source reader under faults', () => {
   it('never has two holders of a slot, nor reads outside a lease', function () {
     this.timeout(120_000);
-    const seen = totals();
+    const seen = emptyTotals();
     const result = fuzz(RUNS, false, seen);
     expect(result.failed, fc.defaultReportMessage(result) ?? '').to.equal(false);
     expect(seen.steps).to.be.greaterThan(RUNS * 20);
--- a/test/source/reader-mutants.ts
+++ b/test/source/reader-mutants.ts
@@ -31,7 +31,9 @@
 }
 
 /** Changes what a lease concludes from an answer; `now` is the time of that answer. */
-function judging(change: (lease: ReaderLease, state: RoundState, now: number) => unknown): Mutant {
+function changeOutcome(
+  change: (lease: ReaderLease, state: RoundState, now: number) => unknown,
+): Mutant {
   return () => {
     const { record } = ReaderLease.prototype;
     const { handleAnswer } = LeaseCandidate.prototype;
@@ -63,7 +65,7 @@
   };
 }
 
-function hold(lease: ReaderLease, slot: string, expiresAtMs: number): void {
+function setHeldLease(lease: ReaderLease, slot: string, expiresAtMs: number): void {
   const held: HeldLease = { slot, expiresAtMs };
   Object.assign(lease, { held });
 }
@@ -73,35 +75,35 @@
   return (lease as unknown as { round: { startedAtMs: number; slot: string } }).round;
 }
 
-const GUARDED = Electorate.prototype.guardedUntilMs;
+const ORIGINAL_GUARDED_UNTIL_MS = Electorate.prototype.guardedUntilMs;
 
 /** Each guard of the lease protocol, taken out. */
 export const READER_MUTANTS: Readonly<Record<string, Mutant>> = {
   'a restarted or new elector grants at once': () =>
     replace(Electorate.prototype, 'guardedUntilMs', function (this: Electorate, slot) {
-      return GUARDED.call(this, slot) === Infinity ? Infinity : -Infinity;
+      return ORIGINAL_GUARDED_UNTIL_MS.call(this, slot) === Infinity ? Infinity : -Infinity;
     }),
   'a machine that becomes an elector grants at once': () =>
     replace(Electorate.prototype, 'guardedUntilMs', function (this: Electorate, slot) {
       const { startedAtMs } = this as unknown as { startedAtMs: number };
-      const guardedUntilMs = GUARDED.call(this, slot);
+      const guardedUntilMs = ORIGINAL_GUARDED_UNTIL_MS.call(this, slot);
       return guardedUntilMs === Infinity ? Infinity : startedAtMs + 2 * LEASE.durationMs;
     }),
-  'a lease runs as long at the holder as at the elector': judging((lease, state) => {
+  'a lease runs as long at the holder as at the elector': changeOutcome((lease, state) => {
     const { slot, startedAtMs } = roundOf(lease);
-    return state === 'won' && hold(lease, slot, startedAtMs + LEASE.durationMs);
+    return state === 'won' && setHeldLease(lease, slot, startedAtMs + LEASE.durationMs);
   }),
-  'a lease counts from the last grant': judging((lease, state, now) => {
+  'a lease counts from the last grant': changeOutcome((lease, state, now) => {
     const { slot } = roundOf(lease);
-    return state === 'won' && hold(lease, slot, now + holderTermMs(LEASE.durationMs));
+    return state === 'won' && setHeldLease(lease, slot, now + holderTermMs(LEASE.durationMs));
   }),
   'an elector believes a wall clock that is set forward': () =>
     replace(Elector.prototype, 'postpone', () => undefined),
-  'one grant is enough': judging((lease, _state, now) => {
+  'one grant is enough': changeOutcome((lease, _state, now) => {
     const { slot, startedAtMs } = roundOf(lease);
     return (
       now < startedAtMs + ROUND_TIMEOUT_MS &&
-      hold(lease, slot, startedAtMs + holderTermMs(LEASE.durationMs))
+      setHeldLease(lease, slot, startedAtMs + holderTermMs(LEASE.durationMs))
     );
   }),
   'an elector grants to whoever asks': () => {
--- a/test/source/reader-process.ts
+++ b/test/source/reader-process.ts
@@ -15,7 +15,7 @@
 const CLOCK_DRIFT = 0.015;
 
 /** What a process is given by its world. */
-export interface ProcessSurroundings {
+export interface ProcessEnvironment {
   readonly nowMs: number;
   readonly random: () => number;
   readonly readerShares: ReaderShares;
@@ -41,7 +41,7 @@
   isAlive = true;
   isPaused = false;
   /** How far its wall clock was set forward, which its clock follows. */
-  aheadMs = 0;
+  wallClockLeadMs = 0;
   /** Whether it held a lease after its last event. */
   isHolder = false;
   heldList = 0;
@@ -55,7 +55,7 @@
   constructor(
     readonly machine: Machine,
     incarnation: number,
-    world: ProcessSurroundings,
+    world: ProcessEnvironment,
   ) {
     const { id, address, controlPort, relayPort, zone, region } = machine;
     this.identity = { id, incarnation, address, controlPort, relayPort, zone, region };
@@ -89,7 +89,7 @@
   }
 
   localMs(worldMs: number): number {
-    return this.steadyMs(worldMs) + this.aheadMs;
+    return this.steadyMs(worldMs) + this.wallClockLeadMs;
   }
 
   private steadyMs(worldMs: number): number {
@@ -97,6 +97,6 @@
   }
 
   worldMs(localMs: number): number {
-    return (localMs - this.aheadMs - this.offsetMs) / this.rate;
+    return (localMs - this.wallClockLeadMs - this.offsetMs) / this.rate;
   }
 }
--- a/test/source/reader-world.ts
+++ b/test/source/reader-world.ts
@@ -8,7 +8,7 @@
 import type { PeerAddress } from '../../src/membership/peer-identity.js';
 import type { Machine } from '../../src/model/machine.js';
 import { MAX_ELECTORS, type ReaderShares } from '../../src/source/lease-terms.js';
-import { seededRandom, WorldProcess, type ProcessSurroundings } from './reader-process.js';
+import { seededRandom, WorldProcess, type ProcessEnvironment } from './reader-process.js';
 
 export { LEASE } from './reader-process.js';
 
@@ -37,7 +37,7 @@
 }
 
 /** The world; every step checks that no slot has two holders and that reads have a lease. */
-export class ReaderWorld implements ProcessSurroundings {
+export class ReaderWorld implements ProcessEnvironment {
   nowMs = 0;
   platformUp = true;
   /** Longest time that a message takes, in milliseconds. */
@@ -50,7 +50,7 @@
   readonly links = new Set<string>();
   /** Pairs `from>to` of machine identities whose messages are lost. */
   readonly cuts = new Set<string>();
-  private readonly all: WorldProcess[] = [];
+  private readonly allProcesses: WorldProcess[] = [];
   private readonly lists: Machine[][] = [[]];
   private readonly queue: Scheduled[] = [];
   private order = 0;
@@ -72,7 +72,7 @@
 
   /** Slots held now, one entry for each holder. */
   heldSlots(): string[] {
-    return this.all
+    return this.allProcesses
       .filter((process) => process.isAlive)
       .flatMap((process) => process.reader.heldSlots(process.localMs(this.nowMs)));
   }
@@ -144,11 +144,11 @@
    * a full set of electors: growth of a smaller zone is outside what leases promise, see DESIGN.
    */
   publish(withNewMachine: boolean): void {
-    const isDead = (machine: Machine): boolean =>
+    const wasKilled = (machine: Machine): boolean =>
       this.processes.some((one) => one.machine.id === machine.id && !one.isAlive);
-    const list = this.newestList().filter((machine) => !isDead(machine));
-    const least = Math.max(MAX_ELECTORS, list.length + (withNewMachine ? 1 : 0));
-    while (list.length < least) {
+    const list = this.newestList().filter((machine) => !wasKilled(machine));
+    const minLength = Math.max(MAX_ELECTORS, list.length + (withNewMachine ? 1 : 0));
+    while (list.length < minLength) {
       const machine = newMachine(this.processes.length);
       list.push(machine);
       this.startProcess(machine, this.options.isListed ? this.lists.length : 0);
@@ -183,7 +183,7 @@
   /** The wall clocks of every other machine are set forward. */
   setClocksForward(byMs: number): void {
     this.processes.forEach((process, index) => {
-      process.aheadMs += index % 2 === 0 ? byMs : 0;
+      process.wallClockLeadMs += index % 2 === 0 ? byMs : 0;
       this.scheduleWake(process);
     });
   }
@@ -211,9 +211,9 @@
   }
 
   private newProcess(machine: Machine, heldList: number): WorldProcess {
-    const process = new WorldProcess(machine, this.all.length, this);
+    const process = new WorldProcess(machine, this.allProcesses.length, this);
     process.heldList = heldList;
-    this.all.push(process);
+    this.allProcesses.push(process);
     this.after(0, () => this.handle(process, { type: 'start' }));
     return process;
   }
--- a/test/source/source-reader.test.ts
+++ b/test/source/source-reader.test.ts
@@ -13,7 +13,7 @@
 interface TakeoverCase {
   readonly name: string;
   readonly options?: Partial<WorldOptions>;
-  readonly during: (world: ReaderWorld) => void;
+  readonly inject: (world: ReaderWorld) => void;
   /** Slots that are held after the fault, in the end. */
   readonly expected: readonly string[];
   readonly withinMs: number;
@@ -21,42 +21,42 @@
 
 const ZONE_SLOTS = ['a/0', 'a/1'];
 const cases: readonly TakeoverCase[] = [
-  { name: 'no fault', during: () => undefined, expected: ZONE_SLOTS, withinMs: 0 },
+  { name: 'no fault', inject: () => undefined, expected: ZONE_SLOTS, withinMs: 0 },
   {
     name: 'the holders die',
-    during: (world) => holders(world).forEach((index) => world.kill(index)),
+    inject: (world) => holders(world).forEach((index) => world.kill(index)),
     expected: ZONE_SLOTS,
     withinMs: 30_000,
   },
   {
     name: 'the holders are stopped as planned',
-    during: (world) => holders(world).forEach((index) => world.stop(index)),
+    inject: (world) => holders(world).forEach((index) => world.stop(index)),
     expected: ZONE_SLOTS,
     withinMs: 15_000,
   },
   {
     name: 'a minority of electors dies',
-    during: (world) => [0, 1].forEach((index) => world.kill(index)),
+    inject: (world) => [0, 1].forEach((index) => world.kill(index)),
     expected: ZONE_SLOTS,
     withinMs: 30_000,
   },
   {
     name: 'every process restarts, holding nothing',
-    during: (world) => world.processes.forEach((_, index) => world.restart(index)),
+    inject: (world) => world.processes.forEach((_, index) => world.restart(index)),
     expected: ZONE_SLOTS,
     withinMs: 60_000,
   },
   {
     name: 'a majority of electors dies: the recovery slot reads on',
     options: { seeds: 7 },
-    during: (world) => [0, 1, 2].forEach((index) => world.kill(index)),
+    inject: (world) => [0, 1, 2].forEach((index) => world.kill(index)),
     expected: ['recovery'],
     withinMs: 90_000,
   },
   {
     name: 'a majority of electors dies and the list says so',
     options: { seeds: 7 },
-    during: (world) => {
+    inject: (world) => {
       [0, 1, 2].forEach((index) => world.kill(index));
       world.publish(true);
     },
@@ -66,14 +66,14 @@
   {
     name: 'a cold fleet',
     options: { isListed: false },
-    during: () => undefined,
+    inject: () => undefined,
     expected: ZONE_SLOTS,
     withinMs: 60_000,
   },
   {
     name: 'one node alone, without seeds and list',
     options: { isListed: false, machines: 1, seeds: 0, readerShares: { a: 1 } },
-    during: () => undefined,
+    inject: () => undefined,
     expected: ['a/0'],
     withinMs: 20_000,
   },
@@ -96,7 +96,7 @@
 }
 
 describe('source reader', () => {
-  for (const { name, options, during, expected, withinMs } of cases) {
+  for (const { name, options, inject: during, expected, withinMs } of cases) {
     it(`finds readers: ${name}`, () => {
       const world = new ReaderWorld({ ...OPTIONS, ...options });
       world.advance(SETTLE_MS);
@@ -118,8 +118,8 @@
     it(`a young fleet reads on when the one reader ${name}`, () => {
       for (const seed of [1, 2, 3, 4, 5]) {
         const world = new ReaderWorld({ ...OPTIONS, seed, isListed: false });
-        const advanceUntil = (isThere: () => boolean, endMs: number): void => {
-          while (!isThere() && world.nowMs < endMs) {
+        const advanceUntil = (isReached: () => boolean, endMs: number): void => {
+          while (!isReached() && world.nowMs < endMs) {
             world.advance(100);
             spreadLists(world);
           }
--- a/test/store/reborn-entries.test.ts
+++ b/test/store/reborn-entries.test.ts
@@ -44,20 +44,20 @@
   readonly history: StoreChange[] = [
     { key: CONFIGURATION_KEY, revision: 1, value: CONFIGURATION_KEY },
   ];
-  private readonly last = new Map<string, Entry>();
+  private readonly lastEntries = new Map<string, Entry>();
 
-  bear(name: string, port: number): void {
+  startEndpoint(name: string, port: number): void {
     this.write({ name, port, bornAtMs: this.revision + 1 });
   }
 
   renew(name: string): void {
-    const entry = this.last.get(name);
+    const entry = this.lastEntries.get(name);
     if (entry !== undefined) {
       this.write(entry);
     }
   }
 
-  lapse(name: string): void {
+  expire(name: string): void {
     if (this.stateAt(this.revision).has(name)) {
       this.revision += 1;
       this.history.push({ key: name, revision: this.revision, value: undefined });
@@ -79,7 +79,7 @@
 
   private write(entry: Entry): void {
     this.revision += 1;
-    this.last.set(entry.name, entry);
+    this.lastEntries.set(entry.name, entry);
     const value = JSON.stringify(entry);
     this.history.push({ key: entry.name, revision: this.revision, value });
   }
@@ -89,42 +89,42 @@
 class Reader {
   private replica = new StoreReplica();
   private builder = new SnapshotBuilder(readRecord);
-  private watchedTo = 0;
+  private watchedRevision = 0;
 
   constructor(private readonly store: Store) {}
 
   list(lag: number): void {
     const revision = Math.max(1, this.store.revision - lag);
-    this.replica.takeList([...this.store.stateAt(revision).values()], revision);
-    this.watchedTo = revision;
+    this.replica.applyList([...this.store.stateAt(revision).values()], revision);
+    this.watchedRevision = revision;
   }
 
   watch(): void {
-    if (this.watchedTo === 0) {
+    if (this.watchedRevision === 0) {
       return;
     }
     const { history, revision } = this.store;
-    const changes = history.filter((one) => one.revision > this.watchedTo);
-    this.replica.takeChanges(changes, revision);
-    this.watchedTo = revision;
+    const changes = history.filter((one) => one.revision > this.watchedRevision);
+    this.replica.applyChanges(changes, revision);
+    this.watchedRevision = revision;
   }
 
   /** What the node tells a peer that holds this revision. */
-  tell(sinceRevision: number): ReturnType<typeof feedDeltaSince> {
+  deltaFor(sinceRevision: number): ReturnType<typeof feedDeltaSince> {
     return feedDeltaSince(this.replica, sinceRevision);
   }
 
-  hear(delta: ReturnType<typeof feedDeltaSince>): void {
+  receive(delta: ReturnType<typeof feedDeltaSince>): void {
     const resolved = resolveFeedDelta(this.replica, delta);
     if (resolved !== undefined) {
-      this.replica.takeDelta(resolved);
+      this.replica.applyDelta(resolved);
     }
   }
 
   restart(): void {
     this.replica = new StoreReplica();
     this.builder = new SnapshotBuilder(readRecord);
-    this.watchedTo = 0;
+    this.watchedRevision = 0;
   }
 
   get revision(): number {
@@ -132,7 +132,7 @@
   }
 
   /** The endpoints in force, as `name@born:port`. */
-  inForce(): string[] {
+  endpoints(): string[] {
     const { snapshot } = this.builder.build(this.replica.items());
     const endpoints = snapshot?.endpointsByService.get('echo') ?? [];
     return endpoints.map(({ name, spec }) => `${name}@${spec.bornAtMs ?? 0}:${spec.port}`).sort();
@@ -151,7 +151,7 @@
 }
 
 /** What the endpoints in force at a revision are: of several at one address the one written last. */
-function modelAt(store: Store, revision: number): string[] {
+function expectedAt(store: Store, revision: number): string[] {
   const byPort = new Map<number, StoreChange>();
   for (const change of store.stateAt(revision).values()) {
     if (change.key !== CONFIGURATION_KEY) {
@@ -182,46 +182,46 @@
 );
 
 /** Plays the steps; `look` is called with the node that was told something; all list the store at the end. */
-function play(
+function simulate(
   steps: readonly Step[],
-  look: (reader: Reader, store: Store) => void,
-  doAllList = true,
+  check: (reader: Reader, store: Store) => void,
+  listAtEnd = true,
 ): Reader[] {
   const store = new Store();
   const readers = Array.from({ length: NODES }, () => new Reader(store));
   const readerOf = (index: number): Reader => readers[index] ?? expect.fail('no such node');
   /** Told once already, and on its way a second time. */
-  let late: ReturnType<typeof feedDeltaSince> | undefined;
+  let lastDelta: ReturnType<typeof feedDeltaSince> | undefined;
   for (const one of steps) {
     switch (one.type) {
       case 'birth':
-        store.bear(one.name, one.port);
+        store.startEndpoint(one.name, one.port);
         break;
       case 'lapse':
-        store.lapse(one.name);
+        store.expire(one.name);
         break;
       case 'renewal':
         store.renew(one.name);
         break;
       case 'list':
         readerOf(one.node).list(one.lag);
-        look(readerOf(one.node), store);
+        check(readerOf(one.node), store);
         break;
       case 'watch':
         readerOf(one.node).watch();
-        look(readerOf(one.node), store);
+        check(readerOf(one.node), store);
         break;
       case 'feed':
         if (one.from !== one.to) {
-          late = readerOf(one.from).tell(readerOf(one.to).revision);
-          readerOf(one.to).hear(late);
-          look(readerOf(one.to), store);
+          lastDelta = readerOf(one.from).deltaFor(readerOf(one.to).revision);
+          readerOf(one.to).receive(lastDelta);
+          check(readerOf(one.to), store);
         }
         break;
       case 'late-feed':
-        if (late !== undefined) {
-          readerOf(one.to).hear(late);
-          look(readerOf(one.to), store);
+        if (lastDelta !== undefined) {
+          readerOf(one.to).receive(lastDelta);
+          check(readerOf(one.to), store);
         }
         break;
       case 'restart':
@@ -229,16 +229,16 @@
         break;
     }
   }
-  for (const reader of doAllList ? readers : []) {
+  for (const reader of listAtEnd ? readers : []) {
     reader.list(0);
-    look(reader, store);
+    check(reader, store);
   }
   return readers;
 }
 
 describe('entries of back ends that start again under their names', () => {
   it('do not come back with an old list to a node that got the whole state from a peer', () => {
-    const [, reader] = play(
+    const [, reader] = simulate(
       [
         { type: 'birth', name: 'a', port: 1 },
         { type: 'list', node: 0, lag: 0 },
@@ -250,14 +250,14 @@
       () => undefined,
       false,
     );
-    expect(reader?.inForce()).to.deep.equal([]);
+    expect(reader?.endpoints()).to.deep.equal([]);
   });
 
   it('are in force as of the newest revision that a node knows all of', () => {
     const property = fc.property(fc.array(step, { maxLength: 40, size: 'max' }), (steps) => {
-      play(steps, (reader, store) => {
+      simulate(steps, (reader, store) => {
         if (reader.revision > 0) {
-          expect(reader.inForce()).to.deep.equal(modelAt(store, reader.revision));
+          expect(reader.endpoints()).to.deep.equal(expectedAt(store, reader.revision));
         }
       });
     });
--- a/test/store/restored-store.test.ts
+++ b/test/store/restored-store.test.ts
@@ -126,7 +126,7 @@
 
   list(store: Store): void {
     const { items, revision } = store.list();
-    this.replica.takeList(items, revision);
+    this.replica.applyList(items, revision);
   }
 
   watch(store: Store): void {
@@ -134,7 +134,7 @@
     if (changes === undefined) {
       this.list(store);
     } else {
-      this.replica.takeChanges(changes, store.revisionNow);
+      this.replica.applyChanges(changes, store.revisionNow);
     }
   }
 
@@ -142,7 +142,7 @@
     const feedDelta = feedDeltaSince(from.replica, this.replica.revision);
     const delta = resolveFeedDelta(this.replica, feedDelta);
     if (delta !== undefined && from.replica.revision > this.replica.revision) {
-      this.replica.takeDelta(delta);
+      this.replica.applyDelta(delta);
     }
   }
 
--- a/test/store/store-follower.test.ts
+++ b/test/store/store-follower.test.ts
@@ -11,8 +11,8 @@
   revision: undefined,
   fault: { path: 'revision', found: 'nothing', expected: 'a revision' },
 };
-const ENDLESS: ListPage = { outcome: 'page', items: [], hasMore: true, revision: 4 };
-const WHOLE: ListPage = {
+const WITHOUT_NEXT_KEY: ListPage = { outcome: 'page', items: [], hasMore: true, revision: 4 };
+const COMPLETE: ListPage = {
   outcome: 'page',
   items: [{ key: 'a', revision: 3, value: '1' }],
   refused: [REFUSED],
@@ -28,10 +28,13 @@
 
   /** Follows a store that answers lists with these pages, the last one again and again. */
   function follow(pages: readonly ListPage[]): StoreReplica {
-    const rest = [...pages];
+    const remaining = [...pages];
     const batch: WatchBatch = { outcome: 'changes', changes: [], revision: 4 };
     const store: KeyValueStore = {
-      list: () => Promise.resolve(rest.length > 1 ? (rest.shift() ?? WHOLE) : (rest[0] ?? WHOLE)),
+      list: () =>
+        Promise.resolve(
+          remaining.length > 1 ? (remaining.shift() ?? COMPLETE) : (remaining[0] ?? COMPLETE),
+        ),
       watch: () => pause(20).then(() => batch),
       close: () => undefined,
     };
@@ -43,7 +46,7 @@
       replica,
       random: () => 0,
       watchWaitMs: 10,
-      onLearned: () => events.push('learned'),
+      onUpdate: () => events.push('learned'),
       onRefused: (items) => events.push(`refused ${items.map(({ key }) => key).join()}`),
       onFailed: () => events.push('failed'),
       onConnection: (isConnected, reason) =>
@@ -54,7 +57,7 @@
   }
 
   it('counts a list that leads nowhere as a failed call, and lists again', async () => {
-    const replica = follow([ENDLESS, WHOLE]);
+    const replica = follow([WITHOUT_NEXT_KEY, COMPLETE]);
     await pause(300);
     expect(events[0]).to.match(/^lost: .+/);
     expect(events.slice(1, 4)).to.deep.equal(['failed', 'regained', 'refused x']);
@@ -62,7 +65,7 @@
   });
 
   it('tells what an answer held that can not be taken, and takes the rest', async () => {
-    const replica = follow([WHOLE]);
+    const replica = follow([COMPLETE]);
     await pause(100);
     expect(events.slice(0, 2)).to.deep.equal(['refused x', 'learned']);
     expect([...replica.items()].map(({ key }) => key)).to.deep.equal(['a']);
--- a/test/store/store-replica.test.ts
+++ b/test/store/store-replica.test.ts
@@ -21,39 +21,39 @@
 describe('replica of a store', () => {
   it('never goes back to an older revision of an item', () => {
     const replica = new StoreReplica();
-    replica.takeChanges([written('a', 7)], 7);
-    expect(replica.takeChanges([written('a', 5)], 6)).to.equal(false);
+    replica.applyChanges([written('a', 7)], 7);
+    expect(replica.applyChanges([written('a', 5)], 6)).to.equal(false);
     expect(valuesOf(replica)).to.deep.equal({ a: 'a@7' });
     expect(replica.revision).to.equal(7);
   });
 
   it('keeps a removal against an older write that comes later', () => {
     const replica = new StoreReplica();
-    replica.takeChanges([removed('a', 9)], 9);
-    replica.takeChanges([written('a', 8)], 9);
+    replica.applyChanges([removed('a', 9)], 9);
+    replica.applyChanges([written('a', 8)], 9);
     expect(valuesOf(replica)).to.deep.equal({});
   });
 
   it('removes what a list does not hold, unless it was written after the list began', () => {
     const replica = new StoreReplica();
     // The last page of this list was read after revision 8.
-    replica.takeList([written('old', 3), written('new', 12)], 8);
-    replica.takeList([written('kept', 9)], 10);
+    replica.applyList([written('old', 3), written('new', 12)], 8);
+    replica.applyList([written('kept', 9)], 10);
     expect(valuesOf(replica)).to.deep.equal({ new: 'new@12', kept: 'kept@9' });
   });
 
   it('does not take a delta that leaves a gap', () => {
     const replica = new StoreReplica();
-    replica.takeChanges([written('a', 2)], 2);
+    replica.applyChanges([written('a', 2)], 2);
     const delta = { sinceRevision: 5, revision: 9, changes: [written('a', 9)] };
-    expect(replica.takeDelta(delta)).to.equal(false);
+    expect(replica.applyDelta(delta)).to.equal(false);
     expect(replica.revision).to.equal(2);
   });
 
   it('gives the whole state to a replica that may have missed forgotten removals', () => {
     const replica = new StoreReplica();
     const revisions = Array.from({ length: 2_100 }, (_, index) => index + 1);
-    replica.takeChanges(
+    replica.applyChanges(
       revisions.map((revision) => removed(`r${revision}`, revision)),
       2_100,
     );
@@ -64,21 +64,21 @@
   it('does not bring back what is gone since removals that were forgotten', () => {
     const replica = new StoreReplica();
     const revisions = Array.from({ length: 2_100 }, (_, index) => index + 1);
-    replica.takeChanges(
+    replica.applyChanges(
       revisions.map((revision) => removed(`r${revision}`, revision)),
       2_100,
     );
     const behind = { sinceRevision: 1, revision: 9, changes: [written('r9', 8)] };
-    expect(replica.takeDelta(behind)).to.equal(false);
-    replica.takeList([written('r9', 8)], 8);
+    expect(replica.applyDelta(behind)).to.equal(false);
+    replica.applyList([written('r9', 8)], 8);
     expect(valuesOf(replica)).to.deep.equal({});
   });
 
   it('gives a delta across a list to a peer that is older than what it knew before the list', () => {
     const replica = new StoreReplica();
-    replica.takeList([written('a', 4), written('b', 5)], 10);
-    replica.takeChanges([written('c', 12)], 12);
-    replica.takeList([written('a', 4), written('d', 18)], 20);
+    replica.applyList([written('a', 4), written('b', 5)], 10);
+    replica.applyChanges([written('c', 12)], 12);
+    replica.applyList([written('a', 4), written('d', 18)], 20);
     expect(replica.deltaSince(12)).to.deep.equal({
       sinceRevision: 12,
       revision: 20,
@@ -104,17 +104,17 @@
         const changes = raw.map(({ key, isRemoved }, index) =>
           isRemoved ? removed(key, index + 1) : written(key, index + 1),
         );
-        const told = [0, 0, 0];
+        const appliedRevisions = [0, 0, 0];
         receivers.slice(0, changes.length).forEach((receiver, index) => {
-          const since = told[receiver] ?? 0;
+          const since = appliedRevisions[receiver] ?? 0;
           const known = changes.slice(0, index + 1);
           if (areLists[index] === true) {
-            replicas[receiver]?.takeList(itemsOf(known), index + 1);
+            replicas[receiver]?.applyList(itemsOf(known), index + 1);
           } else {
-            replicas[receiver]?.takeChanges(known.slice(since), index + 1);
+            replicas[receiver]?.applyChanges(known.slice(since), index + 1);
           }
           exchange(replicas[receiver], replicas[(receiver + 1) % 3]);
-          told[receiver] = index + 1;
+          appliedRevisions[receiver] = index + 1;
         });
         for (const [from, to] of exchanges) {
           exchange(replicas[from], replicas[to]);
@@ -138,6 +138,6 @@
 
 function exchange(from: StoreReplica | undefined, to: StoreReplica | undefined): void {
   if (from !== undefined && to !== undefined && from !== to) {
-    to.takeDelta(from.deltaSince(to.revision));
+    to.applyDelta(from.deltaSince(to.revision));
   }
 }
--- a/test/store/store-watch.test.ts
+++ b/test/store/store-watch.test.ts
@@ -17,7 +17,7 @@
 
 function listed(revision = 10): StoreWatch {
   const watch = new StoreWatch(() => 0.5);
-  watch.take(page(revision, 'a'));
+  watch.handleAnswer(page(revision, 'a'));
   return watch;
 }
 
@@ -34,28 +34,28 @@
 
   it('goes on after the last key, and watches from the first page on', () => {
     const watch = new StoreWatch(() => 0.5);
-    const { call, learning } = watch.take(page(10, 'a', true));
+    const { call, update: learning } = watch.handleAnswer(page(10, 'a', true));
     expect(call).to.deep.include({ type: 'list', afterKey: 'a', delayMs: 0 });
     expect(learning).to.equal(undefined);
-    const last = watch.take(page(12, 'b'));
+    const last = watch.handleAnswer(page(12, 'b'));
     expect(last.call).to.deep.equal({ type: 'watch', afterRevision: 10, delayMs: 0 });
-    expect(last.learning).to.deep.include({ type: 'list', revision: 10 });
+    expect(last.update).to.deep.include({ type: 'list', revision: 10 });
   });
 
   it('watches on from what it was told, after a pause in which changes gather', () => {
-    const { call, learning } = listed().take(changes(11, [ITEM]));
+    const { call, update: learning } = listed().handleAnswer(changes(11, [ITEM]));
     expect(call).to.deep.include({ type: 'watch', afterRevision: 11 });
     expect(call.delayMs).to.be.greaterThan(0);
     expect(learning).to.deep.include({ type: 'changes', revision: 11 });
   });
 
   it('watches at once again when nothing changed, and never from an older revision', () => {
-    const { call } = listed(10).take(changes(8, []));
+    const { call } = listed(10).handleAnswer(changes(8, []));
     expect(call).to.deep.equal({ type: 'watch', afterRevision: 10, delayMs: 0 });
   });
 
   it('lists again when the history is lost, now all that the store has acknowledged', () => {
-    const { call } = listed().take({ outcome: 'history-lost' });
+    const { call } = listed().handleAnswer({ outcome: 'history-lost' });
     expect(call).to.deep.equal({
       type: 'list',
       afterKey: undefined,
@@ -66,19 +66,19 @@
 
   it('watches from the oldest page of a list whose pages lag by different times', () => {
     const watch = new StoreWatch(() => 0.5);
-    watch.take(page(10, 'a', true));
-    const { call, learning } = watch.take(page(7, 'b'));
+    watch.handleAnswer(page(10, 'a', true));
+    const { call, update: learning } = watch.handleAnswer(page(7, 'b'));
     expect(call).to.deep.include({ type: 'watch', afterRevision: 7 });
     expect(learning).to.deep.include({ type: 'list', revision: 7 });
   });
 
   it('discards a list whose pages span two eras, and lists again with current freshness', () => {
     const watch = new StoreWatch(() => 0.5);
-    watch.take(page(10, 'a', true));
-    const { call, learning } = watch.take(page(revisionOf(1, 7), 'b'));
+    watch.handleAnswer(page(10, 'a', true));
+    const { call, update: learning } = watch.handleAnswer(page(revisionOf(1, 7), 'b'));
     expect(call).to.deep.include({ type: 'list', afterKey: undefined, freshness: 'current' });
     expect(learning).to.equal(undefined);
-    const { learning: next } = watch.take(page(revisionOf(1, 7), 'a'));
+    const { update: next } = watch.handleAnswer(page(revisionOf(1, 7), 'a'));
     expect(next).to.have.property('items').with.length(1);
   });
 
@@ -90,29 +90,29 @@
 
   it('begins a list anew when one of its pages fails', () => {
     const watch = new StoreWatch(() => 0.5);
-    watch.take(page(10, 'a', true));
-    const { call } = watch.take(UNAVAILABLE);
+    watch.handleAnswer(page(10, 'a', true));
+    const { call } = watch.handleAnswer(UNAVAILABLE);
     expect(call).to.deep.include({ type: 'list', afterKey: undefined });
-    const { learning } = watch.take(page(20, 'b'));
+    const { update: learning } = watch.handleAnswer(page(20, 'b'));
     expect(learning).to.deep.include({ revision: 20 });
     expect(learning).to.have.property('items').with.length(1);
   });
 
   it('backs off while the store fails, within a bound, and is connected again with an answer', () => {
     const watch = listed();
-    const delays = Array.from({ length: 8 }, () => watch.take(UNAVAILABLE).call.delayMs);
+    const delays = Array.from({ length: 8 }, () => watch.handleAnswer(UNAVAILABLE).call.delayMs);
     expect(delays[0]).to.be.within(50, 100);
     expect(delays[1]).to.be.greaterThan(delays[0] ?? 0);
     expect(Math.max(...delays)).to.be.at.most(800);
     expect(watch.isConnected).to.equal(false);
-    watch.take(changes(11, []));
+    watch.handleAnswer(changes(11, []));
     expect(watch.isConnected).to.equal(true);
   });
 
   it('counts a page that leads nowhere as a failure, so that no list goes on for ever', () => {
     const watch = new StoreWatch(() => 0.5);
-    watch.take(page(10, 'a', true));
-    const { call, learning } = watch.take(page(10, 'a', true));
+    watch.handleAnswer(page(10, 'a', true));
+    const { call, update: learning } = watch.handleAnswer(page(10, 'a', true));
     expect(call).to.deep.include({ type: 'list', afterKey: undefined });
     expect(call.delayMs).to.be.greaterThan(0);
     expect(learning).to.equal(undefined);
@@ -121,7 +121,7 @@
   it('counts a page without a key that promises another one as a failure', () => {
     const watch = new StoreWatch(() => 0.5);
     const empty: StoreAnswer = { ...page(10, 'a', true), items: [] } as StoreAnswer;
-    const { call, learning } = watch.take(empty);
+    const { call, update: learning } = watch.handleAnswer(empty);
     expect(call).to.deep.include({ type: 'list', afterKey: undefined });
     expect(call.delayMs).to.be.greaterThan(0);
     expect(learning).to.equal(undefined);
@@ -131,7 +131,7 @@
     const watch = new StoreWatch(() => 0.5);
     let delayMs = 0;
     for (let count = 0; count < 10_000 && delayMs === 0; count += 1) {
-      ({ delayMs } = watch.take(page(10, `key ${count}`, true)).call);
+      ({ delayMs } = watch.handleAnswer(page(10, `key ${count}`, true)).call);
     }
     expect(delayMs).to.be.greaterThan(0);
   });
--- a/tools/bench/decision-figures.ts
+++ b/tools/bench/decision-figures.ts
@@ -33,7 +33,7 @@
   return timeUs((idx) => {
     const revision = replica.revision + 1;
     const key = `endpoint ${idx % size.endpoints}`;
-    replica.takeChanges([{ key, revision, value: `${revision}` }], revision);
+    replica.applyChanges([{ key, revision, value: `${revision}` }], revision);
     builder.build(replica.items());
   });
 }
@@ -43,7 +43,7 @@
   const { replica, builder } = filled(size);
   return timeUs(() => {
     const revision = replica.revision + 1;
-    replica.takeChanges([configurationChange(revision)], revision);
+    replica.applyChanges([configurationChange(revision)], revision);
     builder.build(replica.items());
   });
 }
@@ -80,7 +80,7 @@
     value: '0',
   }));
   const revision = size.endpoints + 1;
-  replica.takeList([...changes, configurationChange(revision)], revision);
+  replica.applyList([...changes, configurationChange(revision)], revision);
   builder.build(replica.items());
   return { replica, builder };
 }
--- a/tools/bench/delivery-figures.ts
+++ b/tools/bench/delivery-figures.ts
@@ -56,13 +56,13 @@
   const second = configurationChange(ROUTES_BEFORE + routesAdded, SECOND_REVISION);
   const feeder = replicaWith(first);
   const follower = replicaWith(first);
-  feeder.takeChanges([second], SECOND_REVISION);
+  feeder.applyChanges([second], SECOND_REVISION);
   const plainBytes = JSON.stringify(feedDeltaSince(feeder, FIRST_REVISION)).length;
   const [told, encodeMs] = timed(() => encodeDelta(feedDeltaSince(feeder, FIRST_REVISION)));
   const [, decodeMs] = timed(() => {
     const delta = decodeDelta(told);
     const resolved = delta && resolveFeedDelta(follower, delta);
-    return resolved && follower.takeDelta(resolved);
+    return resolved && follower.applyDelta(resolved);
   });
   const builder = new SnapshotBuilder(
     createRecordReader({ retryBudgetPercent: 20, regionOfZone: () => 'r1' }),
@@ -79,7 +79,7 @@
 
 function replicaWith(change: ReturnType<typeof configurationChange>): StoreReplica {
   const replica = new StoreReplica();
-  replica.takeChanges([change], change.revision);
+  replica.applyChanges([change], change.revision);
   return replica;
 }
 
--- a/tools/fuzz/control-plane-target.ts
+++ b/tools/fuzz/control-plane-target.ts
@@ -1,5 +1,5 @@
 /** What the fuzzer runs: the product's control plane as the product puts it together. */
-import { mostReaders } from '../../src/source/lease-terms.js';
+import { maxReaders } from '../../src/source/lease-terms.js';
 import { encodedSize } from '../../src/wire/codec.js';
 import { evenShares, productFactory, type ReaderKind } from '../emulator/product-nodes.js';
 import { FUZZ_ZONES } from './fuzz-command.js';
@@ -11,6 +11,6 @@
     factory: productFactory(FUZZ_ZONES, undefined, readers, withWrites),
     withWrites,
     sizer: encodedSize,
-    readerBound: readers === 'leased' ? mostReaders(evenShares(FUZZ_ZONES)) : FUZZ_ZONES,
+    readerBound: readers === 'leased' ? maxReaders(evenShares(FUZZ_ZONES)) : FUZZ_ZONES,
   };
 }
