--- a/src/store/configuration-record.ts
+++ b/src/store/configuration-record.ts
@@ -1,12 +1,12 @@
-/** What the items of a store say, in the product's own terms; an adapter reads them. */
+/** Parsed items of a store, independent of the store's format, which an adapter parses. */
 import type { Endpoint, Resource } from '../model/resource.js';
 import type { CallerLimits } from '../model/snapshot.js';
 import type { ItemFault } from './item-fault.js';
 
-/** A whole configuration. */
+/** A complete configuration. */
 export interface ConfigurationRecord {
   readonly kind: 'configuration';
-  /** Rises with each configuration. */
+  /** Increases with each configuration. */
   readonly number: number;
   /** Services and routes. */
   readonly resources: readonly Resource[];
@@ -21,22 +21,22 @@
   readonly sequence?: number;
 }
 
-/** A zone whose endpoints get no new work while the item exists. */
+/** A zone whose endpoints receive no new requests while the item exists. */
 export interface EvacuationRecord {
   readonly kind: 'evacuation';
   readonly zone: string;
 }
 
-/** An item that the node does not use, or can't read. */
+/** An item that the node does not use or cannot parse. */
 export interface UnusedRecord {
   readonly kind: 'unused';
-  /** Why the item can't be read; undefined when it is of no concern. */
+  /** Why the item cannot be parsed; undefined if it is not relevant to the node. */
   readonly fault: ItemFault | undefined;
 }
 
-/** What one item says. */
+/** The record of one item. */
 export type StoreRecord =
   ConfigurationRecord | StoredEndpointRecord | EvacuationRecord | UnusedRecord;
 
-/** Reads an item; never throws. */
+/** Parses an item; never throws. */
 export type RecordReader = (key: string, value: string) => StoreRecord;
--- a/src/store/item-fault.ts
+++ b/src/store/item-fault.ts
@@ -1,31 +1,31 @@
 /**
- * Why an item of a store is not used, for the log: the field, what was there, and what was expected. Items
- * may come from any writer, so what was there is told in short.
+ * Why an item of a store is rejected, for the log: the field, the value found, and the value expected. Items may
+ * come from any writer, so the value found is truncated.
  */
 import { showValue } from '../settings/shown-value.js';
 
-/** Longest key that is told, in characters. */
+/** Maximum length of a logged key, in characters. */
 const MAX_SHOWN_KEY_LENGTH = 80;
 
-/** What is wrong with an item. */
+/** Why an item is invalid. */
 export interface ItemFault {
-  /** Dotted path of the field; empty for the item as a whole. */
+  /** Dotted path of the field; empty for the entire item. */
   readonly path: string;
-  /** What was there, cut short. */
+  /** The value found, truncated. */
   readonly found: string;
   readonly expected: string;
 }
 
-/** An item that is not used. */
+/** An item that is rejected. */
 export interface RefusedItem {
-  /** Key of the item, cut short; empty where it has none. */
+  /** Key of the item, truncated; empty if it has none. */
   readonly key: string;
-  /** Revision of the item; undefined where it has none. */
+  /** Revision of the item; undefined if it has none. */
   readonly revision: number | undefined;
   readonly fault: ItemFault;
 }
 
-/** An item, or an answer that should hold items, is not valid. */
+/** Thrown when an item, or an answer that should contain items, is invalid. */
 export class InvalidItemError extends Error {
   override readonly name = 'InvalidItemError';
   readonly code = 'INVALID_ITEM';
@@ -35,7 +35,7 @@
   }
 }
 
-/** A value as {@link ItemFault.found} tells it: a scalar cut short, and only the kind of anything else. */
+/** Formats a value for {@link ItemFault.found}: a scalar is truncated; for any other value only its type is given. */
 export function describeFound(value: unknown): string {
   if (value === undefined) {
     return 'nothing';
@@ -43,7 +43,7 @@
   return showValue(value) ?? (Array.isArray(value) ? 'a list' : 'an object');
 }
 
-/** A key as {@link RefusedItem.key} tells it. */
+/** Truncates a key for {@link RefusedItem.key}. */
 export function shortKey(key: string): string {
   return key.length > MAX_SHOWN_KEY_LENGTH ? `${key.slice(0, MAX_SHOWN_KEY_LENGTH)}...` : key;
 }
--- a/src/store/key-value-store.ts
+++ b/src/store/key-value-store.ts
@@ -1,72 +1,72 @@
 /**
- * What a node needs of a key-value store that it can only read: lists, and watches by revision. Every
- * change of the store raises its one revision, which is combined with the store's era (`store-revision.ts`).
+ * Read-only interface to a key-value store: lists, and watches by revision. The store has a single revision that
+ * increases with every change; here it is combined with the store's era (`store-revision.ts`).
  */
 import type { RefusedItem } from './item-fault.js';
 
 /**
- * Stands for the value of an item that is no text, or longer than any that a node reads: no such item is
- * valid, and its bytes would cost every node that holds them.
+ * Placeholder for the value of an item that is not text, or that exceeds the maximum length a node reads. Such an
+ * item is never valid, and keeping its bytes would waste memory on every node.
  */
 export const UNREADABLE_TEXT = '\uFFFD';
 
-/** An item as it was written, or its removal. */
+/** A write or removal of an item. */
 export interface StoreChange {
   readonly key: string;
   /** Revision of the store at which the item was written or removed. */
   readonly revision: number;
-  /** Text of the item, or {@link UNREADABLE_TEXT}; undefined when it was removed. */
+  /** Text of the item, or {@link UNREADABLE_TEXT}; undefined if it was removed. */
   readonly value: string | undefined;
 }
 
-/** Whether a list has to hold all that the store has acknowledged. */
+/** Whether a list must contain every write that the store has acknowledged. */
 export type ListFreshness = 'current' | 'lagging';
 
-/** A page of a list; the pages of one list are not of one revision. */
+/** A page of a list; pages of the same list may have different revisions. */
 export interface ListPage {
   readonly outcome: 'page';
   readonly items: readonly StoreChange[];
-  /** Items that are left out, since they have no key or no revision; absent where there are none. */
+  /** Items omitted because they have no key or no revision; absent if there are none. */
   readonly refused?: readonly RefusedItem[];
   readonly hasMore: boolean;
-  /** Key that the next page begins after; absent where it is that of the last of `items`. */
+  /** Key after which the next page begins; absent if it is the key of the last of `items`. */
   readonly lastKey?: string | undefined;
   /** Revision of the store when the page was read. */
   readonly revision: number;
 }
 
-/** What changed after the revision that a watch named, up to `revision`. */
+/** Changes after the revision named by a watch, up to `revision`. */
 export interface WatchBatch {
   readonly outcome: 'changes';
   readonly changes: readonly StoreChange[];
-  /** Changes that are left out, since they have no key or no revision; absent where there are none. */
+  /** Changes omitted because they have no key or no revision; absent if there are none. */
   readonly refused?: readonly RefusedItem[];
   readonly revision: number;
 }
 
 /**
- * The store no longer knows what changed after the revision that a watch named, or has not issued that revision
- * in its current era.
+ * The store no longer has the changes after the revision named by a watch, or has not issued that revision in its
+ * current era.
  */
 export interface HistoryLost {
   readonly outcome: 'history-lost';
 }
 
-/** The store could not be reached, was too slow, or turned the call away. */
+/** The store was unreachable, was too slow, or refused the call. */
 export interface StoreUnavailable {
   readonly outcome: 'unavailable';
   /** For the log. */
   readonly reason: string;
 }
 
-/** Told when bytes of an answer came, whole or not; not of a refusal. */
+/** Called when bytes of an answer arrive, whether or not the answer is complete; not called for refusals. */
 export type ProgressListener = () => void;
 
-/** A store, over its adapter. Calls never reject. */
+/** A store, accessed through its adapter. Promises never reject. */
 export interface KeyValueStore {
   /**
-   * Items in the order of their keys, after `afterKey`. A `lagging` page may be seconds old, as a watch
-   * may, and costs the store a tenth.
+   * Items in key order, after `afterKey`. A `lagging` page may be seconds old, like the answer to a watch, and costs
+   * the store a tenth as much as a `current` one.
    */
   list(
     afterKey: string | undefined,
@@ -74,8 +74,8 @@
     onProgress?: ProgressListener,
   ): Promise<ListPage | StoreUnavailable>;
   /**
-   * Waits up to `waitMs` for a change after `afterRevision`. The answer may lag behind the store while
-   * it is disturbed; in return the call does not count against its limits.
+   * Waits up to `waitMs` for a change after `afterRevision`. The answer may lag behind the store during a
+   * disturbance of the store; in return, the call does not count against the store's limits.
    */
   watch(
     afterRevision: number,
--- a/src/store/refused-items.ts
+++ b/src/store/refused-items.ts
@@ -1,23 +1,21 @@
-/** Counts and logs the items of a store that are not used. Each is to be reported once. */
+/** Counts and logs rejected items of a store. The caller must report each item only once. */
 import type { CounterSink } from '../control/control-event.js';
 import type { ItemFault, RefusedItem } from './item-fault.js';
 import { revisionInEra } from './store-revision.js';
 
-/** Counts the items, each revision once. */
+/** Counter of rejected items; each revision of an item counts once. */
 export const REFUSED_ITEMS_COUNTER = 'ferryspool_store_items_refused_total';
-/** Lines for items that are reported together; the others are only counted. */
+/** Maximum number of log lines per report; further items are only counted. */
 const MAX_LINES = 20;
 
-/** One line of the log. */
+/** Log line of one rejected item. */
 export type RefusedItemLine = Pick<RefusedItem, 'key' | 'revision'> & ItemFault;
 
-/** What the reporter needs of its node. */
 export interface RefusedItemReporterOptions {
   readonly counters: CounterSink;
   readonly log: (line: RefusedItemLine) => void;
 }
 
-/** The reporter of one node. */
 export class RefusedItemReporter {
   constructor(private readonly options: RefusedItemReporterOptions) {}
 
--- a/src/store/snapshot-builder.ts
+++ b/src/store/snapshot-builder.ts
@@ -1,7 +1,7 @@
 /**
- * Makes snapshots from the items of a replica: the newest configuration ever seen, with the endpoints
- * that exist now. A configuration that can't be read or does not hold together is not put in force,
- * and the one before stays. Pure.
+ * Builds snapshots from the items of a replica: the configuration with the highest number seen so far, combined
+ * with the current endpoints. If a configuration cannot be parsed or is inconsistent, the previous one stays in
+ * force. Pure.
  */
 import { InvalidConfigurationError } from '../model/configuration-error.js';
 import type { Endpoint } from '../model/resource.js';
@@ -13,7 +13,7 @@
 import type { StoreChange } from './key-value-store.js';
 import { eraOf } from './store-revision.js';
 
-/** An item, read once. */
+/** An item and its parsed record. */
 interface ParsedItem {
   readonly revision: number;
   readonly value: string;
@@ -27,17 +27,16 @@
   readonly evacuatedZones: Set<string>;
 }
 
-/** What came of the items. */
 export interface BuildResult {
   /** Undefined while no configuration is known. */
   readonly snapshot: Snapshot | undefined;
-  /** Items that are not used, each revision once. */
+  /** Rejected items; each revision is reported once. */
   readonly refused: readonly RefusedItem[];
 }
 
 /**
- * Endpoints by address. The entry of an endpoint that ended may stand for seconds beside that of the
- * one which has its address now: only the entry written last speaks for an address.
+ * Endpoints by address. The entry of a terminated endpoint may exist for seconds alongside the entry of the
+ * endpoint that now has its address, so only the entry written last is used for each address.
  */
 class EndpointsByAddress {
   private readonly latest = new Map<string, EndpointEntry>();
@@ -61,18 +60,18 @@
   private readonly parsedItems = new Map<string, ParsedItem>();
   /** Parsed records of carried changes. */
   private readonly carriedRecords = new WeakMap<StoreChange, StoreRecord>();
-  /** The newest configuration, validated and indexed once, without endpoints. */
+  /** The configuration in force, validated and indexed once, without endpoints. */
   private currentConfiguration: Snapshot | undefined;
   private currentNumber = 0;
-  /** The latest one that does not hold together, so that it is validated and told only once. */
+  /** The latest inconsistent configuration, kept so that it is validated and reported only once. */
   private refusedCandidate: ConfigurationRecord | undefined;
   private latest: Snapshot | undefined;
 
   constructor(private readonly read: RecordReader) {}
 
   /**
-   * The snapshot of `items` and of the changes carried over from earlier eras; the configuration in force
-   * never gets an older number.
+   * Builds a snapshot of `items` and of the changes carried over from earlier eras. The number of the configuration
+   * in force never decreases.
    */
   build(items: Iterable<StoreChange>, carried: readonly StoreChange[] = []): BuildResult {
     const refused: RefusedItem[] = [];
@@ -94,7 +93,7 @@
     return { snapshot: this.snapshotWith([...endpoints.values()], evacuatedZones), refused };
   }
 
-  /** Caches the record of a carried change; must run before the item that replaces it is read. */
+  /** Caches the record of a carried change; must run before the item that replaces it is parsed. */
   private cacheCarriedRecord(change: StoreChange): void {
     const { key, value } = change;
     if (value !== undefined && !this.carriedRecords.has(change)) {
@@ -153,8 +152,8 @@
   }
 
   /**
-   * Endpoints of services that the configuration does not have are left out first, so that they take the
-   * address of no other.
+   * Endpoints of unconfigured services are excluded first, so that they do not replace another endpoint with the
+   * same address.
    */
   private snapshotWith(
     entries: readonly EndpointEntry[],
@@ -178,7 +177,7 @@
     return this.latest;
   }
 
-  /** All of `keys` have been read: where there are as many as read ones, none is to be forgotten. */
+  /** Removes all other parsed items. Every one of `keys` has been parsed, so equal counts mean there are no others. */
   private retainOnly(keys: ReadonlySet<string>): void {
     if (keys.size === this.parsedItems.size) {
       return;
@@ -192,7 +191,7 @@
 }
 
 /**
- * Whether an item has the same value as in another era. Such an item is not read again, since that would restart
+ * Whether an item has the same value as in another era. Such an item is not parsed again, since that would restart
  * time-dependent state such as the cold period of an endpoint.
  */
 function isUnchangedAcrossEras(
@@ -228,6 +227,6 @@
   return {
     path: first?.path ?? '',
     found: first?.reason ?? '',
-    expected: 'a configuration that holds together',
+    expected: 'a consistent configuration',
   };
 }
--- a/src/store/store-replica.ts
+++ b/src/store/store-replica.ts
@@ -1,49 +1,47 @@
 /**
- * A node's replica of the store: the newest known state of each item, by revision. Changes may come
- * from the store and from peers, in any order and more than once; the higher revision wins, so that
- * no item ever goes back. Removals are remembered, so that an older peer can't bring an item back.
- * Pure.
+ * A node's replica of the store: the newest known state of each item, by revision. Changes may arrive from the store
+ * and from peers, in any order and more than once. The higher revision takes precedence, so no item reverts to an
+ * older state. Removals are retained, so that a peer that lags behind cannot restore a removed item. Pure.
  */
 import { CarriedChanges, REWRITE_PERIOD_MS, type MissingItemRetention } from './carried-changes.js';
 import { ChangeLog } from './change-log.js';
 import type { StoreChange } from './key-value-store.js';
 import { eraOf } from './store-revision.js';
 
-/** Removals remembered at most; beyond that, the oldest are forgotten. */
+/** Maximum number of retained removals; beyond it, the oldest are discarded. */
 const MAX_REMOVALS = 2_000;
-/** Gaps remembered at most; beyond that, the oldest bounds what deltas may begin with. */
+/** Maximum number of recorded gaps; beyond it, no delta may start before the end of a discarded gap. */
 const MAX_GAPS = 16;
-/** Length from which the version before a text is kept, so that peers can be given a patch. */
+/** Minimum length of a text whose previous version is kept, so that peers can be sent a patch. */
 const LONG_TEXT_LENGTH = 4_096;
 
-/** Revisions of which removals may be unknown: those of a list that was taken for lost history. */
+/** Revisions within which removals may be unknown, because a list replaced the lost history. */
 interface Gap {
-  /** The replica knew everything up to this revision. */
+  /** The replica had every change up to this revision. */
   readonly afterRevision: number;
   /** Revision of the list. */
   readonly revision: number;
 }
 
-/** Changes that bring another replica up to `revision`. */
+/** Changes that update another replica to `revision`. */
 export interface ReplicaDelta {
-  /** Revision that the receiver must hold; 0 where the delta is the whole state. */
+  /** Revision up to which the receiver must be complete; 0 if the delta contains the full state. */
   readonly sinceRevision: number;
   readonly revision: number;
   readonly changes: readonly StoreChange[];
 }
 
-/** The replica. */
 export class StoreReplica {
   private readonly changes = new Map<string, StoreChange>();
-  /** The same changes by revision, so that a delta costs what it holds, not what the replica holds. */
+  /** The same changes by revision, so that the cost of a delta depends on its own size, not on the replica's. */
   private readonly log = new ChangeLog((change) => this.changes.get(change.key) === change);
   private removalCount = 0;
   private completeUpTo = 0;
   private updates = 0;
-  /** Deltas from before this revision would miss removals that are not known, or were forgotten. */
+  /** Deltas that start before this revision would lack removals that are unknown or were discarded. */
   private removalsKnownFrom = 0;
   private gaps: Gap[] = [];
-  /** The versions before the current ones of long texts, by key. */
+  /** Previous versions of long texts, by key. */
   private readonly previousVersions = new Map<string, StoreChange>();
   private readonly carried: CarriedChanges;
   /** Revision of the first list of the era; higher revisions were written during the era. */
@@ -53,12 +51,12 @@
     this.carried = new CarriedChanges(missingItemRetentionMs);
   }
 
-  /** The replica holds every change up to this revision; 0 before the first list. */
+  /** Revision up to which the replica has every change; 0 before the first list. */
   get revision(): number {
     return this.completeUpTo;
   }
 
-  /** Rises whenever what the replica holds, or what it tells of it, may have changed. */
+  /** Increases whenever the replica's content, or the deltas it returns, may have changed. */
   get updateCount(): number {
     return this.updates;
   }
@@ -83,10 +81,10 @@
   }
 
   /**
-   * Takes a whole list that was begun at `revision`; true when an item changed. What was made and
-   * removed between the replica's revision and the list's stays unknown, so a peer that is complete up
-   * to a revision between the two is given the whole state. A list may also be older than the replica, as
-   * the first one of the store beside the state that a peer told: what is gone since is not taken.
+   * Applies a complete list that was started at `revision`; returns whether an item changed. Items created and
+   * removed between the replica's revision and the list's remain unknown, so a peer that is complete up to a
+   * revision between the two is sent the full state. A list may also be older than the replica, for example the
+   * first list of the store after a peer has sent the full state; items removed since that list are not applied.
    */
   applyList(items: readonly StoreChange[], revision: number): boolean {
     this.updates += 1;
@@ -112,7 +110,7 @@
     return hasChanged;
   }
 
-  /** Takes what a watch told; true when an item changed. */
+  /** Applies the changes of a watch; returns whether an item changed. */
   applyChanges(changes: readonly StoreChange[], revision: number): boolean {
     this.updates += 1;
     const hasChanged = this.applyEach(changes.filter((change) => !this.isKnownRemoved(change)));
@@ -121,7 +119,7 @@
     return hasChanged;
   }
 
-  /** Takes what a peer told; true when an item changed. A delta with a gap before it is not taken. */
+  /** Applies a peer's delta unless there is a gap before it; returns whether an item changed. */
   applyDelta(delta: ReplicaDelta): boolean {
     if (delta.sinceRevision === 0) {
       return delta.revision > this.completeUpTo && this.applyList(existing(delta), delta.revision);
@@ -131,26 +129,26 @@
     );
   }
 
-  /** What a replica that is complete up to `sinceRevision` lacks. */
+  /** The changes missing from a replica that is complete up to `sinceRevision`. */
   deltaSince(sinceRevision: number): ReplicaDelta {
     return this.mayMissRemovals(sinceRevision)
       ? { sinceRevision: 0, revision: this.completeUpTo, changes: [...this.items()] }
       : { sinceRevision, revision: this.completeUpTo, changes: this.log.since(sinceRevision) };
   }
 
-  /** The item of `key` before its last change; undefined unless its text is long. */
+  /** The item of `key` before its last change; undefined unless its text was long. */
   previousVersion(key: string): StoreChange | undefined {
     return this.previousVersions.get(key);
   }
 
-  /** The item of `key`, or its removal. */
+  /** The latest change of `key`, which may be a removal. */
   changeOf(key: string): StoreChange | undefined {
     return this.changes.get(key);
   }
 
   /**
-   * Whether the item of an older change is gone, though its removal is not remembered: the replica would
-   * hold it otherwise.
+   * Whether the item of an older change must have been removed although its removal is not retained, because the
+   * replica would contain the item otherwise.
    */
   private isKnownRemoved({ key, revision }: StoreChange): boolean {
     return revision <= this.completeUpTo && !this.changes.has(key);
--- a/src/store/store-watch.ts
+++ b/src/store/store-watch.ts
@@ -1,7 +1,6 @@
 /**
- * Decides what a node asks of the store next: a list, page by page, then watches from the list's
- * revision on; a list again when the store has forgotten what came after that. Pure: answers in,
- * the next call out.
+ * Determines a node's next call to the store: a list, page by page, then watches from the revision of the list, and
+ * a new list if the store no longer has the changes after that revision. Pure: maps each answer to the next call.
  */
 import type { RandomSource } from '../control/control-event.js';
 import { eraOf } from './store-revision.js';
@@ -14,17 +13,17 @@
   WatchBatch,
 } from './key-value-store.js';
 
-/** Pause after a failed call, in milliseconds; doubles with each further one. */
+/** Back-off after a failed call, in milliseconds; doubles with each consecutive failure. */
 const FIRST_BACK_OFF_MS = 100;
-/** Longest pause between two calls, in milliseconds. */
+/** Maximum back-off between two calls, in milliseconds. */
 const MAX_BACK_OFF_MS = 800;
-/** Pause between the answer of a watch and the next one, in milliseconds: changes gather meanwhile. */
+/** Delay between a watch that returned changes and the next one, so that changes are batched, in milliseconds. */
 const BATCH_DELAY_MS = 150;
 
-/** Pages of one list at most: hundreds of times the items of a large fleet. */
+/** Maximum number of pages of a list, enough for hundreds of times the items of a large fleet. */
 const MAX_PAGES = 200;
 
-/** A call to the store, to be made after a pause. */
+/** A call to the store, to be made after `delayMs`. */
 export type StoreCall = { readonly delayMs: number } & (
   | {
       readonly type: 'list';
@@ -34,9 +33,9 @@
   | { readonly type: 'watch'; readonly afterRevision: number }
 );
 
-/** What an answer taught. */
+/** An update of the replica from an answer. */
 export type StoreUpdate =
-  /** The whole content, as of a list that was begun at `revision`. */
+  /** The complete content, from a list that was started at `revision`. */
   | {
       readonly type: 'list';
       readonly items: readonly StoreChange[];
@@ -51,43 +50,42 @@
 /** An answer of the store. */
 export type StoreAnswer = ListPage | WatchBatch | HistoryLost | StoreUnavailable;
 
-/** The next call, and what the last answer taught. */
+/** The next call and the update from the last answer. */
 export interface StoreStep {
   readonly call: StoreCall;
   readonly update: StoreUpdate | undefined;
 }
 
-/** Pages of a list that is under way. */
+/** Pages received so far of a list. */
 interface PendingList {
   readonly items: StoreChange[];
-  /** Least revision of the pages so far: what changed since must be watched for. */
+  /** Lowest revision of the pages received so far; the watch must start from it. */
   revision: number;
   pageCount: number;
-  /** Key that the page under way begins after. */
+  /** Key after which the requested page begins. */
   afterKey: string | undefined;
 }
 
-/** One node's list and watches. */
+/** The list and watch state of one node. */
 export class StoreWatch {
   private pending: PendingList | undefined;
   private revision: number | undefined;
-  /** The first list may lag: the watch after it brings the rest. Not so when that had no history. */
+  /** The first list may lag, since the watch supplies later changes; after lost history the list must be current. */
   private listFreshness: ListFreshness = 'lagging';
   private failures = 0;
 
   constructor(private readonly random: RandomSource) {}
 
-  /** Whether the last call was answered. */
+  /** Whether the last call succeeded. */
   get isConnected(): boolean {
     return this.failures === 0;
   }
 
-  /** The first call. */
   start(): StoreCall {
     return this.nextCall(0);
   }
 
-  /** The next call after a pause in which the replica came to `heldRevision` by other ways. */
+  /** The next call after a pause during which the replica was updated to `heldRevision` by other means. */
   resume(heldRevision: number): StoreCall {
     if (this.revision !== undefined) {
       this.revision = Math.max(this.revision, heldRevision);
@@ -95,7 +93,6 @@
     return this.nextCall(0);
   }
 
-  /** Takes the answer to the last call. */
   handleAnswer(answer: StoreAnswer): StoreStep {
     if (answer.outcome === 'unavailable' || this.makesNoProgress(answer)) {
       this.failures += 1;
@@ -121,7 +118,7 @@
     return { call: this.nextCall(0), update: undefined };
   }
 
-  /** A page that promises another one without a way on: such a list would never end. */
+  /** Whether a page has a next page that cannot be requested, or exceeds the page limit; the list would never end. */
   private makesNoProgress(answer: StoreAnswer): boolean {
     if (answer.outcome !== 'page' || !answer.hasMore) {
       return false;
@@ -165,7 +162,7 @@
       : { type: 'watch', afterRevision: this.revision, delayMs };
   }
 
-  /** Nodes that lost the store together come back spread out. */
+  /** Randomized, so that nodes that lost the store at the same time do not reconnect at the same time. */
   private backOffMs(): number {
     const maxDelayMs = Math.min(MAX_BACK_OFF_MS, FIRST_BACK_OFF_MS * 2 ** (this.failures - 1));
     return maxDelayMs * (0.5 + this.random() / 2);
--- a/src/store/text-patch.ts
+++ b/src/store/text-patch.ts
@@ -1,24 +1,24 @@
 /**
- * Patches between two versions of a long text, such as a configuration in which one route changed: the
- * new text as pieces of the old one and what is new. Pure.
+ * Patches between two versions of a long text, such as a configuration in which one route changed. A patch consists
+ * of ranges of the old text and of new text. Pure.
  */
 
-/** Texts are cut before this character, which begins each object of a JSON text. */
+/** Texts are split before this character, which begins each object in JSON. */
 const PIECE_START = '{';
 
 /**
- * Longest text that a patch may make, in characters. Many ranges of a long text would make one that no
- * process can hold.
+ * Maximum length of a patched text, in characters. Without a limit, a patch with many ranges of a long text could
+ * produce a text that exceeds the memory of any process.
  */
 export const MAX_TEXT_LENGTH = 4 * 1024 * 1024;
 
-/** A part of the new text: a range of the old one, or a text of its own. */
+/** A part of the new text: a range of the old text, or literal text. */
 export type PatchPart = readonly [start: number, end: number] | string;
 
 /** The parts of the new text, in order. */
 export type TextPatch = readonly PatchPart[];
 
-/** A patch that makes `newText` out of `oldText`. */
+/** Creates a patch that converts `oldText` to `newText`. */
 export function createPatch(oldText: string, newText: string): TextPatch {
   const startOf = new Map<string, number>();
   let offset = 0;
@@ -37,7 +37,7 @@
   return parts;
 }
 
-/** The new text; undefined when the patch does not fit the old one, or makes a text that is too long. */
+/** Returns the new text; undefined if the patch does not match `oldText` or the new text would be too long. */
 export function applyPatch(oldText: string, patch: TextPatch): string | undefined {
   let text = '';
   for (const part of patch) {
@@ -58,7 +58,7 @@
   return isWithin ? oldText.slice(start, end) : undefined;
 }
 
-/** Joins a piece to the last part where it goes on from there. */
+/** Appends a piece, merging it with the last part if they are adjacent. */
 function append(parts: PatchPart[], piece: string, start: number | undefined): void {
   const last = parts.at(-1);
   if (start === undefined) {
@@ -77,7 +77,7 @@
   }
 }
 
-/** Where the old text goes on after a range of it. */
+/** End of a part's range in the old text; undefined if the part is literal text. */
 function endOfRange(part: PatchPart | undefined): number | undefined {
   return part === undefined || typeof part === 'string' ? undefined : part[1];
 }
--- a/test/source/platform-client.test.ts
+++ b/test/source/platform-client.test.ts
@@ -27,7 +27,7 @@
   state: 'live',
 };
 
-/** A deadline that no test reaches, counted from the call. */
+/** A deadline that no test reaches. */
 function longDeadline(): number {
   return performance.now() + LONG_TIMEOUT_MS;
 }
@@ -37,7 +37,7 @@
   return (_request, response) => response.writeHead(status, headers).end(text);
 }
 
-/** A platform with one handler, which records its open connections. */
+/** A platform server with one request handler that tracks its open connections. */
 class TestPlatform {
   openConnections = 0;
   peakConnections = 0;
@@ -80,7 +80,7 @@
   readonly handler: Handler;
   readonly document?: PlatformDocument;
   readonly known?: number;
-  /** Outcome, number and first fault's path, as far as the answer has them. */
+  /** Outcome, number (or retry delay), and path of the first fault; undefined where not applicable. */
   readonly expected: readonly unknown[];
 }
 
@@ -98,13 +98,13 @@
     expected: ['document', 3, undefined],
   },
   {
-    name: 'a machine twice',
+    name: 'a duplicate machine',
     document: 'machines',
     handler: respondWith(200, { version: 3, machines: [machine, machine] }),
     expected: ['invalid', 3, 'machine/m1'],
   },
   {
-    name: 'a bad machine',
+    name: 'an invalid machine',
     document: 'machines',
     handler: respondWith(200, { version: 3, machines: [{ ...machine, address: 'host' }] }),
     expected: ['invalid', 3, 'machines.0.address'],
@@ -143,7 +143,7 @@
     expected: ['unavailable', 2_000, undefined],
   },
   {
-    name: '503 with an absurd Retry-After',
+    name: '503 with an excessive Retry-After',
     handler: respondWith(503, '', { 'retry-after': '99999999' }),
     expected: ['unavailable', MAX_RETRY_AFTER_MS, undefined],
   },
@@ -153,9 +153,13 @@
     expected: UNAVAILABLE,
   },
   { name: '500', handler: respondWith(500, 'x'), expected: UNAVAILABLE },
-  { name: 'a reset before the answer', handler: (r) => r.socket.destroy(), expected: UNAVAILABLE },
   {
-    name: 'a body cut short',
+    name: 'a connection reset before the response',
+    handler: (r) => r.socket.destroy(),
+    expected: UNAVAILABLE,
+  },
+  {
+    name: 'a truncated body',
     handler: (_request, response) => {
       response.writeHead(200, { 'content-length': '100' });
       response.write('{"version":1,"resources":[]}');
@@ -164,7 +168,7 @@
     expected: UNAVAILABLE,
   },
   {
-    name: 'bytes that are no HTTP',
+    name: 'bytes that are not HTTP',
     handler: (request) => request.socket.end('garbage\r\n\r\n'),
     expected: UNAVAILABLE,
   },
@@ -193,7 +197,7 @@
     });
   }
 
-  it('asks conditionally, at the URL of the document', async () => {
+  it('sends conditional requests to the URL of each document', async () => {
     const received: unknown[] = [];
     const platform = await TestPlatform.start((request, response) => {
       received.push([request.url, request.headers['if-none-match']]);
@@ -209,14 +213,14 @@
     await platform.stop();
   });
 
-  it('never quotes the text of a malformed answer', async () => {
+  it('never quotes the text of a malformed response', async () => {
     const platform = await TestPlatform.start(respondWith(200, 'hunter2 {'));
     const answer = await platform.client().read('source', 0, longDeadline());
     expect(JSON.stringify(answer)).to.not.contain('hunter2');
     await platform.stop();
   });
 
-  it('opens one connection at a time, and keeps none', async () => {
+  it('opens one connection at a time and keeps none open', async () => {
     const platform = await TestPlatform.start(respondWith(200, { version: 1, resources: [] }));
     const client = platform.client();
     const reads = Array.from({ length: 5 }, () => client.read('source', 0, longDeadline()));
@@ -226,14 +230,14 @@
     await platform.stop();
   });
 
-  it('abandons a read at its time limit', async () => {
+  it('aborts a read at its deadline', async () => {
     const platform = await TestPlatform.start(() => undefined);
     const answer = await platform.client().read('source', 0, performance.now() + 50);
     expect(answer.outcome).to.equal('unavailable');
     await platform.stop();
   });
 
-  it('close() ends the read that runs and those that wait; a later read works', async () => {
+  it('aborts running and queued reads on close(); later reads still work', async () => {
     let isHanging = true;
     const platform = await TestPlatform.start((request, response) => {
       if (isHanging) {
@@ -254,9 +258,9 @@
     await platform.stop();
   });
 
-  it('sends nothing when the time limit passed while the process was stopped', async () => {
+  it('sends nothing if the deadline passed while the process was suspended', async () => {
     const platform = await TestPlatform.start(respondWith(200, { version: 1, resources: [] }));
-    // The clock jumps after the request was made and before its connection is up.
+    // The clock jumps after the request was created and before its connection is established.
     const times = [0, 1];
     const client = platform.client({ now: () => times.shift() ?? LONG_TIMEOUT_MS });
     const answer = await client.read('source', 0, LONG_TIMEOUT_MS);
@@ -265,7 +269,7 @@
     await platform.stop();
   });
 
-  it('answers unavailable when nothing listens', async () => {
+  it('resolves to unavailable if the platform does not listen', async () => {
     const platform = await TestPlatform.start(respondWith(200, ''));
     const client = platform.client();
     await platform.stop();
--- a/test/source/reader-fuzz.test.ts
+++ b/test/source/reader-fuzz.test.ts
@@ -8,7 +8,7 @@
 const MUTANT_RUNS = 1_500;
 const MAX_MACHINES = 16;
 
-/** What a step does to the world; `a` and `b` are machines, or a time and a choice. */
+/** Effect of each action on the world; `a` and `b` select machines, durations or options. */
 const ACTIONS = {
   advance: (world, a) => world.advance(a % 8_000),
   kill: (world, a) => world.kill(a % world.processes.length),
@@ -34,7 +34,7 @@
 } satisfies Record<string, (world: ReaderWorld, a: number, b: number) => unknown>;
 type ActionName = keyof typeof ACTIONS;
 
-/** How often each action comes. */
+/** Relative frequency of each action. */
 const WEIGHTS: Readonly<Record<ActionName, number>> = {
   advance: 8,
   kill: 1,
@@ -74,7 +74,7 @@
   );
 }
 
-/** Pauses a holder for a while. */
+/** Pauses a holder for `ms`. */
 function pauseHolderFor(world: ReaderWorld, ms: number): void {
   const holder = holderIndex(world);
   world.pause(holder);
@@ -82,7 +82,7 @@
   world.resume(holder);
 }
 
-/** Three electors die, and the list that says so reaches the others at once. */
+/** Kills up to three electors, and sends the list without them to all machines at once. */
 function replaceElectors(world: ReaderWorld): void {
   const holder = holderIndex(world);
   const isElector = new Set(
@@ -99,7 +99,7 @@
   world.processes.forEach((_, one) => world.learnList(one));
 }
 
-/** Cuts machines of even rank from those of odd rank, both ways. */
+/** Partitions the network in both directions between machines with even and odd indexes. */
 function split(world: ReaderWorld): void {
   world.processes.forEach((_left, one) =>
     world.processes.forEach((_right, two) => {
@@ -142,7 +142,7 @@
 }
 
 describe('source reader under faults', () => {
-  it('never has two holders of a slot, nor reads outside a lease', function () {
+  it('never has two holders of a slot and never reads without a lease', function () {
     this.timeout(120_000);
     const seen = emptyTotals();
     const result = fuzz(RUNS, false, seen);
--- a/test/source/reader-mutants.ts
+++ b/test/source/reader-mutants.ts
@@ -1,4 +1,4 @@
-/** Faults put into the reader's logic on purpose, to show that the fuzzer finds them. */
+/** Mutants of the reader's logic, which show that the fuzzer detects faults. */
 import type { PeerIdentity } from '../../src/membership/peer-identity.js';
 import { Elector } from '../../src/source/elector.js';
 import { Electorate } from '../../src/source/electorate.js';
@@ -9,10 +9,10 @@
 import type { LeaseReleaseMessage } from '../../src/wire/message.js';
 import { LEASE } from './reader-world.js';
 
-/** The logic with one guard taken out; gives a function that puts it back. */
+/** Removes one safeguard from the logic; returns a function that restores it. */
 export type Mutant = () => () => void;
 
-/* eslint-disable @typescript-eslint/unbound-method -- methods are swapped, and called with `this` */
+/* eslint-disable @typescript-eslint/unbound-method -- methods are replaced and called with `this` */
 function replace<T extends object, K extends keyof T>(
   target: T,
   name: K,
@@ -30,7 +30,7 @@
   readonly expiresAtMs: number;
 }
 
-/** Changes what a lease concludes from an answer; `now` is the time of that answer. */
+/** Calls `change` after a lease has recorded a grant; `now` is the time of the answer. */
 function changeOutcome(
   change: (lease: ReaderLease, state: RoundState, now: number) => unknown,
 ): Mutant {
@@ -70,50 +70,52 @@
   Object.assign(lease, { held });
 }
 
-/** Begin and slot of the round under way. */
+/** Start time and slot of the current round. */
 function roundOf(lease: ReaderLease): { startedAtMs: number; slot: string } {
   return (lease as unknown as { round: { startedAtMs: number; slot: string } }).round;
 }
 
 const ORIGINAL_GUARDED_UNTIL_MS = Electorate.prototype.guardedUntilMs;
 
-/** Each guard of the lease protocol, taken out. */
+/** One mutant for each safeguard of the lease protocol. */
 export const READER_MUTANTS: Readonly<Record<string, Mutant>> = {
-  'a restarted or new elector grants at once': () =>
+  'a restarted or new elector grants immediately': () =>
     replace(Electorate.prototype, 'guardedUntilMs', function (this: Electorate, slot) {
       return ORIGINAL_GUARDED_UNTIL_MS.call(this, slot) === Infinity ? Infinity : -Infinity;
     }),
-  'a machine that becomes an elector grants at once': () =>
+  'a machine that becomes an elector grants immediately': () =>
     replace(Electorate.prototype, 'guardedUntilMs', function (this: Electorate, slot) {
       const { startedAtMs } = this as unknown as { startedAtMs: number };
       const guardedUntilMs = ORIGINAL_GUARDED_UNTIL_MS.call(this, slot);
       return guardedUntilMs === Infinity ? Infinity : startedAtMs + 2 * LEASE.durationMs;
     }),
-  'a lease runs as long at the holder as at the elector': changeOutcome((lease, state) => {
+  'a lease lasts as long at the holder as at the elector': changeOutcome((lease, state) => {
     const { slot, startedAtMs } = roundOf(lease);
     return state === 'won' && setHeldLease(lease, slot, startedAtMs + LEASE.durationMs);
   }),
-  'a lease counts from the last grant': changeOutcome((lease, state, now) => {
-    const { slot } = roundOf(lease);
-    return state === 'won' && setHeldLease(lease, slot, now + holderTermMs(LEASE.durationMs));
-  }),
-  'an elector believes a wall clock that is set forward': () =>
+  'a lease starts at the last grant instead of the start of the round': changeOutcome(
+    (lease, state, now) => {
+      const { slot } = roundOf(lease);
+      return state === 'won' && setHeldLease(lease, slot, now + holderTermMs(LEASE.durationMs));
+    },
+  ),
+  'an elector does not compensate for a wall clock that is set forward': () =>
     replace(Elector.prototype, 'postpone', () => undefined),
-  'one grant is enough': changeOutcome((lease, _state, now) => {
+  'one grant is sufficient for a lease': changeOutcome((lease, _state, now) => {
     const { slot, startedAtMs } = roundOf(lease);
     return (
       now < startedAtMs + ROUND_TIMEOUT_MS &&
       setHeldLease(lease, slot, startedAtMs + holderTermMs(LEASE.durationMs))
     );
   }),
-  'an elector grants to whoever asks': () => {
+  'an elector grants every request': () => {
     const { request } = Elector.prototype;
     return replace(Elector.prototype, 'request', function (this: Elector, ...args) {
       (this as unknown as { grants: Map<string, unknown> }).grants.clear();
       return request.apply(this, args);
     });
   },
-  'a late release frees a newer grant': () => {
+  'a delayed release frees a newer grant': () => {
     const { release } = Elector.prototype;
     return replace(
       Elector.prototype,
@@ -123,7 +125,7 @@
       },
     );
   },
-  'a read does not look at the clock': () => {
+  'a read does not check the expiry of the lease': () => {
     const original = SourceReader.prototype.readableUntilMs;
     return replace(SourceReader.prototype, 'readableUntilMs', function (this: SourceReader) {
       return original.call(this) === -Infinity ? -Infinity : Infinity;
--- a/test/source/reader-process.ts
+++ b/test/source/reader-process.ts
@@ -1,4 +1,4 @@
-/** One process of the reader world: a source reader with a clock of its own. */
+/** A process of the simulated reader world: a source reader with its own clock. */
 import type { ControlEvent } from '../../src/control/control-event.js';
 import type { PeerAddress, PeerIdentity } from '../../src/membership/peer-identity.js';
 import type { Machine } from '../../src/model/machine.js';
@@ -11,10 +11,10 @@
   machinesIntervalMs: 3_000,
   requestTimeoutMs: 2_000,
 } as const;
-/** Clocks run up to this much faster or slower than the world's. */
+/** Maximum fraction by which a clock runs faster or slower than simulated time. */
 const CLOCK_DRIFT = 0.015;
 
-/** What a process is given by its world. */
+/** Environment of a process, provided by its world. */
 export interface ProcessEnvironment {
   readonly nowMs: number;
   readonly random: () => number;
@@ -23,7 +23,7 @@
   listAt(number: number): readonly Machine[];
 }
 
-/** A seeded generator (mulberry32), uniform in [0, 1). */
+/** Creates a seeded generator (mulberry32), uniform in [0, 1). */
 export function seededRandom(seed: number): () => number {
   let state = seed >>> 0;
   return () => {
@@ -34,13 +34,13 @@
   };
 }
 
-/** One process on one machine. */
+/** A simulated process on a machine. */
 export class WorldProcess {
   readonly identity: PeerIdentity;
   readonly reader: SourceReader;
   isAlive = true;
   isPaused = false;
-  /** How far its wall clock was set forward, which its clock follows. */
+  /** Time by which the wall clock was set forward; the event clock follows it. */
   wallClockLeadMs = 0;
   /** Whether it held a lease after its last event. */
   isHolder = false;
--- a/test/source/reader-world.ts
+++ b/test/source/reader-world.ts
@@ -1,4 +1,4 @@
-/** A small world for source readers: drifting clocks, late and lost messages, lists that lag. */
+/** Simulated world of source readers with clock drift, delayed and lost messages, and outdated machine lists. */
 import type {
   ControlEffect,
   ControlEvent,
@@ -12,7 +12,7 @@
 
 export { LEASE } from './reader-process.js';
 
-/** Fault of a reader, found by the world. */
+/** Thrown when a reader violates an invariant. */
 export class InvariantError extends Error {
   override readonly name = 'InvariantError';
 }
@@ -22,9 +22,9 @@
   /** Machines of zone `a` at the start. */
   readonly machines: number;
   readonly readerShares: ReaderShares;
-  /** The first machines that are seeds. */
+  /** Number of seeds; they are the first machines. */
   readonly seeds: number;
-  /** Whether every node starts with the machine list. */
+  /** Whether every node has the machine list at the start. */
   readonly isListed: boolean;
 }
 
@@ -36,19 +36,19 @@
   readonly run: () => void;
 }
 
-/** The world; every step checks that no slot has two holders and that reads have a lease. */
+/** The world; after every event it checks that no slot has two holders and that reads occur within a lease. */
 export class ReaderWorld implements ProcessEnvironment {
   nowMs = 0;
   platformUp = true;
-  /** Longest time that a message takes, in milliseconds. */
+  /** Maximum message delay, in milliseconds. */
   latencyMs = 20;
   readonly random: () => number;
   readonly readerShares: ReaderShares;
   readonly seeds: readonly PeerAddress[];
-  /** Newest process of each machine. */
+  /** Latest process of each machine. */
   readonly processes: WorldProcess[] = [];
   readonly links = new Set<string>();
-  /** Pairs `from>to` of machine identities whose messages are lost. */
+  /** Pairs `from>to` of machine identities between which messages are lost. */
   readonly cuts = new Set<string>();
   private readonly allProcesses: WorldProcess[] = [];
   private readonly lists: Machine[][] = [[]];
@@ -70,14 +70,14 @@
     return this.lists[number] ?? [];
   }
 
-  /** Slots held now, one entry for each holder. */
+  /** Currently held slots, one entry per holder. */
   heldSlots(): string[] {
     return this.allProcesses
       .filter((process) => process.isAlive)
       .flatMap((process) => process.reader.heldSlots(process.localMs(this.nowMs)));
   }
 
-  /** Runs until `durationMs` have passed. */
+  /** Runs the simulation for `durationMs`. */
   advance(durationMs: number): void {
     const endMs = this.nowMs + durationMs;
     for (let next = this.queue[0]; next !== undefined && next.atMs <= endMs; next = this.queue[0]) {
@@ -101,7 +101,7 @@
     }
   }
 
-  /** A new process on a machine that still is on the list; it holds nothing. */
+  /** Replaces the process of a machine that is still on the list by a new one without any documents. */
   restart(index: number): void {
     const process = this.processes[index];
     const isListed = this.newestList().some((machine) => machine.id === process?.machine.id);
@@ -118,7 +118,7 @@
     }
   }
 
-  /** The process goes on: what came meanwhile arrives now, its timer before or after. */
+  /** Resumes a process and delivers its queued events; its timer fires either before or after them. */
   resume(index: number): void {
     const process = this.processes[index];
     if (process?.isPaused !== true) {
@@ -140,8 +140,8 @@
   }
 
   /**
-   * The platform drops the dead from its list, and may list a new machine. It lists as many as make
-   * a full set of electors: growth of a smaller zone is outside what leases promise, see DESIGN.
+   * Removes dead machines from the platform's list, and may add a new machine. The list always has enough machines
+   * for a full set of electors, because leases give no guarantee while a smaller zone grows (see DESIGN).
    */
   publish(withNewMachine: boolean): void {
     const wasKilled = (machine: Machine): boolean =>
@@ -156,7 +156,7 @@
     this.lists.push(list);
   }
 
-  /** The node learns of the newest list from its peers. */
+  /** Gives a node the newest list, as if it came from a peer. */
   learnList(index: number): void {
     const process = this.processes[index];
     if (process?.isAlive === true && !process.isPaused) {
@@ -165,7 +165,7 @@
     }
   }
 
-  /** Closes all links of a node; the node itself is not told. */
+  /** Closes all links of a node without notifying the node itself. */
   closeLinks(index: number): void {
     const process = this.processes[index];
     for (const other of this.processes) {
@@ -175,12 +175,12 @@
     }
   }
 
-  /** Messages from one machine to another are lost. */
+  /** Drops messages from one machine to another. */
   cut(from: number, to: number): void {
     this.cuts.add(`${this.processes[from]?.machine.id}>${this.processes[to]?.machine.id}`);
   }
 
-  /** The wall clocks of every other machine are set forward. */
+  /** Sets the wall clocks of the machines with even indexes forward. */
   setClocksForward(byMs: number): void {
     this.processes.forEach((process, index) => {
       process.wallClockLeadMs += index % 2 === 0 ? byMs : 0;
@@ -188,7 +188,7 @@
     });
   }
 
-  /** Ends every fault; the network is fast again. */
+  /** Removes all network and platform faults, resumes or restarts all processes, and restores the default latency. */
   heal(): void {
     this.cuts.clear();
     this.platformUp = true;
@@ -245,7 +245,9 @@
     const effects = process.reader.handle(event, localMs);
     process.isHolder = process.reader.heldSlots(localMs).length > 0;
     if (wasLost && effects[0]?.type !== 'close-platform') {
-      throw new InvariantError(`${process.machine.id} acts on a lost lease at ${this.nowMs}`);
+      throw new InvariantError(
+        `${process.machine.id} handled an event after losing its lease without closing the platform connection at ${this.nowMs}`,
+      );
     }
     this.checkReads(process, effects, localMs);
     effects.forEach((effect) => this.execute(process, effect));
@@ -320,7 +322,7 @@
   private checkHolders(): void {
     const held = this.heldSlots();
     if (new Set(held).size !== held.length) {
-      throw new InvariantError(`two holders at ${this.nowMs}: ${held.join(', ')}`);
+      throw new InvariantError(`two holders of a slot at ${this.nowMs}: ${held.join(', ')}`);
     }
   }
 
@@ -337,7 +339,9 @@
         throw new InvariantError(`${process.machine.id} reads without a lease at ${this.nowMs}`);
       }
       if (process.reader.heldSlots(localMs + effect.abortAfterMs - 0.001).length === 0) {
-        throw new InvariantError(`${process.machine.id} may read past its lease at ${this.nowMs}`);
+        throw new InvariantError(
+          `${process.machine.id} may read beyond the expiry of its lease at ${this.nowMs}`,
+        );
       }
     }
   }
--- a/test/source/source-reader.test.ts
+++ b/test/source/source-reader.test.ts
@@ -14,7 +14,7 @@
   readonly name: string;
   readonly options?: Partial<WorldOptions>;
   readonly inject: (world: ReaderWorld) => void;
-  /** Slots that are held after the fault, in the end. */
+  /** Slots expected to be held within `withinMs` after the fault. */
   readonly expected: readonly string[];
   readonly withinMs: number;
 }
@@ -23,38 +23,38 @@
 const cases: readonly TakeoverCase[] = [
   { name: 'no fault', inject: () => undefined, expected: ZONE_SLOTS, withinMs: 0 },
   {
-    name: 'the holders die',
+    name: 'the holders are killed',
     inject: (world) => holders(world).forEach((index) => world.kill(index)),
     expected: ZONE_SLOTS,
     withinMs: 30_000,
   },
   {
-    name: 'the holders are stopped as planned',
+    name: 'the holders are stopped gracefully',
     inject: (world) => holders(world).forEach((index) => world.stop(index)),
     expected: ZONE_SLOTS,
     withinMs: 15_000,
   },
   {
-    name: 'a minority of electors dies',
+    name: 'a minority of electors is killed',
     inject: (world) => [0, 1].forEach((index) => world.kill(index)),
     expected: ZONE_SLOTS,
     withinMs: 30_000,
   },
   {
-    name: 'every process restarts, holding nothing',
+    name: 'every process restarts without any documents',
     inject: (world) => world.processes.forEach((_, index) => world.restart(index)),
     expected: ZONE_SLOTS,
     withinMs: 60_000,
   },
   {
-    name: 'a majority of electors dies: the recovery slot reads on',
+    name: 'a majority of electors is killed: the holder of the recovery slot reads',
     options: { seeds: 7 },
     inject: (world) => [0, 1, 2].forEach((index) => world.kill(index)),
     expected: ['recovery'],
     withinMs: 90_000,
   },
   {
-    name: 'a majority of electors dies and the list says so',
+    name: 'a majority of electors is killed and removed from the list',
     options: { seeds: 7 },
     inject: (world) => {
       [0, 1, 2].forEach((index) => world.kill(index));
@@ -64,14 +64,14 @@
     withinMs: 150_000,
   },
   {
-    name: 'a cold fleet',
+    name: 'a fleet without a machine list',
     options: { isListed: false },
     inject: () => undefined,
     expected: ZONE_SLOTS,
     withinMs: 60_000,
   },
   {
-    name: 'one node alone, without seeds and list',
+    name: 'a single node without seeds and machine list',
     options: { isListed: false, machines: 1, seeds: 0, readerShares: { a: 1 } },
     inject: () => undefined,
     expected: ['a/0'],
@@ -85,7 +85,7 @@
   );
 }
 
-/** Lets the newest list of any node spread to all, as the dissemination does. */
+/** Distributes the newest list of any node to all running nodes, as dissemination would. */
 function spreadLists(world: ReaderWorld): void {
   const newest = Math.max(...world.processes.map((process) => process.heldList));
   world.processes.forEach((process) => {
@@ -96,11 +96,11 @@
 }
 
 describe('source reader', () => {
-  for (const { name, options, inject: during, expected, withinMs } of cases) {
-    it(`finds readers: ${name}`, () => {
+  for (const { name, options, inject, expected, withinMs } of cases) {
+    it(`acquires the expected leases: ${name}`, () => {
       const world = new ReaderWorld({ ...OPTIONS, ...options });
       world.advance(SETTLE_MS);
-      during(world);
+      inject(world);
       const endMs = world.nowMs + withinMs;
       while (world.nowMs < endMs && world.heldSlots().sort().join() !== expected.join()) {
         world.advance(100);
@@ -111,11 +111,11 @@
   }
 
   const gaps: [string, (world: ReaderWorld, index: number) => void, number][] = [
-    ['is stopped as planned', (world, index) => world.stop(index), 2_000],
-    ['dies', (world, index) => world.kill(index), 8_000],
+    ['is stopped gracefully', (world, index) => world.stop(index), 2_000],
+    ['is killed', (world, index) => world.kill(index), 8_000],
   ];
   for (const [name, end, withinMs] of gaps) {
-    it(`a young fleet reads on when the one reader ${name}`, () => {
+    it(`replaces the only reader of a new fleet when it ${name}`, () => {
       for (const seed of [1, 2, 3, 4, 5]) {
         const world = new ReaderWorld({ ...OPTIONS, seed, isListed: false });
         const advanceUntil = (isReached: () => boolean, endMs: number): void => {
--- a/test/store/reborn-entries.test.ts
+++ b/test/store/reborn-entries.test.ts
@@ -1,8 +1,8 @@
 /**
- * Entries of back ends that are written, lapse, and come back under the same names, as several nodes learn
- * of them: by whole lists that may be old, by watches, by feeds and fetches from peers that may be behind,
- * and after a start that forgot everything. Whatever the order, an incarnation that a node has seen
- * replaced, or gone, at some revision never comes back there with an older one.
+ * Model test of back-end entries that are written, expire and are written again under the same names, while several
+ * nodes read them: through complete lists that may be outdated, watches, feeds and fetches from peers that may lag,
+ * and after restarts with empty state. In any order, an incarnation that a node has seen replaced or removed at some
+ * revision must never reappear there with an older revision.
  */
 import { expect } from 'chai';
 import fc from 'fast-check';
@@ -19,15 +19,15 @@
 const CONFIGURATION_KEY = 'configuration';
 
 type Step =
-  /** The back end of this name starts, again if it is there. */
+  /** The back end with this name starts, or restarts if its entry exists. */
   | { readonly type: 'birth'; readonly name: string; readonly port: number }
-  /** Its entry is removed; it may be written again without a birth. */
+  /** The entry is removed; a renewal may write it again without a start of the back end. */
   | { readonly type: 'lapse'; readonly name: string }
   | { readonly type: 'renewal'; readonly name: string }
-  /** A node reads what the store held `lag` revisions ago. */
+  /** A node lists the content of the store as of `lag` revisions ago. */
   | { readonly type: 'list'; readonly node: number; readonly lag: number }
   | { readonly type: 'watch'; readonly node: number }
-  /** A node is told what a peer holds, as of when the peer was told to say it. */
+  /** A node receives a delta from a peer; `late-feed` delivers the last delta again. */
   | { readonly type: 'feed'; readonly from: number; readonly to: number }
   | { readonly type: 'late-feed'; readonly to: number }
   | { readonly type: 'restart'; readonly node: number };
@@ -38,7 +38,7 @@
   readonly bornAtMs: number;
 }
 
-/** The store, with all of its history. */
+/** Model of the store with its complete history. */
 class Store {
   revision = 1;
   readonly history: StoreChange[] = [
@@ -64,7 +64,7 @@
     }
   }
 
-  /** The items that existed at the revision. */
+  /** The items that existed at `revision`. */
   stateAt(revision: number): Map<string, StoreChange> {
     const state = new Map<string, StoreChange>();
     for (const change of this.history.filter((one) => one.revision <= revision)) {
@@ -85,7 +85,7 @@
   }
 }
 
-/** One node: its replica, what it serves from, and what it has been shown. */
+/** A node with its replica, its snapshot builder, and the revision that it has watched up to. */
 class Reader {
   private replica = new StoreReplica();
   private builder = new SnapshotBuilder(readRecord);
@@ -109,7 +109,7 @@
     this.watchedRevision = revision;
   }
 
-  /** What the node tells a peer that holds this revision. */
+  /** The delta that the node sends to a peer at `sinceRevision`. */
   deltaFor(sinceRevision: number): ReturnType<typeof feedDeltaSince> {
     return feedDeltaSince(this.replica, sinceRevision);
   }
@@ -150,7 +150,7 @@
   return { kind: 'endpoint', endpoint };
 }
 
-/** What the endpoints in force at a revision are: of several at one address the one written last. */
+/** Endpoints expected at a revision; for each address, only the entry written last. */
 function expectedAt(store: Store, revision: number): string[] {
   const byPort = new Map<number, StoreChange>();
   for (const change of store.stateAt(revision).values()) {
@@ -181,7 +181,10 @@
   fc.record({ type: fc.constant('restart' as const), node }),
 );
 
-/** Plays the steps; `look` is called with the node that was told something; all list the store at the end. */
+/**
+ * Runs the steps and calls `check` with each node that has read something. With `listAtEnd`, all nodes list the
+ * store at the end.
+ */
 function simulate(
   steps: readonly Step[],
   check: (reader: Reader, store: Store) => void,
@@ -190,7 +193,7 @@
   const store = new Store();
   const readers = Array.from({ length: NODES }, () => new Reader(store));
   const readerOf = (index: number): Reader => readers[index] ?? expect.fail('no such node');
-  /** Told once already, and on its way a second time. */
+  /** The last delivered delta, which a `late-feed` step delivers again. */
   let lastDelta: ReturnType<typeof feedDeltaSince> | undefined;
   for (const one of steps) {
     switch (one.type) {
@@ -236,8 +239,8 @@
   return readers;
 }
 
-describe('entries of back ends that start again under their names', () => {
-  it('do not come back with an old list to a node that got the whole state from a peer', () => {
+describe('entries of back ends that restart under the same names', () => {
+  it('do not reappear from an outdated list on a node that got the full state from a peer', () => {
     const [, reader] = simulate(
       [
         { type: 'birth', name: 'a', port: 1 },
@@ -253,7 +256,7 @@
     expect(reader?.endpoints()).to.deep.equal([]);
   });
 
-  it('are in force as of the newest revision that a node knows all of', () => {
+  it('match the store at the revision up to which the replica is complete', () => {
     const property = fc.property(fc.array(step, { maxLength: 40, size: 'max' }), (steps) => {
       simulate(steps, (reader, store) => {
         if (reader.revision > 0) {
--- a/test/store/restored-store.test.ts
+++ b/test/store/restored-store.test.ts
@@ -43,7 +43,7 @@
   private items = new Map<string, StoreChange>();
   private log: StoreChange[] = [];
   private revision = 0;
-  private saved: Backup = { items: new Map(), log: [], revision: 0 };
+  private lastBackup: Backup = { items: new Map(), log: [], revision: 0 };
 
   write(key: string, value: string | undefined): void {
     this.revision += 1;
@@ -53,11 +53,11 @@
   }
 
   backup(): void {
-    this.saved = { items: new Map(this.items), log: [...this.log], revision: this.revision };
+    this.lastBackup = { items: new Map(this.items), log: [...this.log], revision: this.revision };
   }
 
   restore(): void {
-    const { items, log, revision } = this.saved;
+    const { items, log, revision } = this.lastBackup;
     this.items = new Map(items);
     this.log = [...log];
     this.revision = revision;
@@ -78,7 +78,7 @@
   }
 
   /** Changes after `revision`; undefined when its history is lost. */
-  since(revision: number): StoreChange[] | undefined {
+  changesSince(revision: number): StoreChange[] | undefined {
     const after = revisionInEra(revision);
     return eraOf(revision) !== this.era || after > this.revision
       ? undefined
@@ -130,7 +130,7 @@
   }
 
   watch(store: Store): void {
-    const changes = store.since(this.replica.revision);
+    const changes = store.changesSince(this.replica.revision);
     if (changes === undefined) {
       this.list(store);
     } else {
@@ -188,8 +188,8 @@
 
 const ENDPOINT_STATES = ['active', 'draining', undefined] as const;
 
-describe('nodes whose store comes back from older copies', () => {
-  it('never go back, and hold what the store holds in the end', () => {
+describe('nodes whose store is restored from backups', () => {
+  it('never regress, and converge to the content of the store', () => {
     fc.assert(
       fc.property(fc.array(step, { maxLength: 40 }), (steps) => {
         const store = new Store();
--- a/test/store/snapshot-builder.test.ts
+++ b/test/store/snapshot-builder.test.ts
@@ -1,4 +1,4 @@
-/** Snapshots from the items of a store: versions that only rise, faults, endpoints. */
+/** Snapshots of the items of a store: increasing versions, faults, endpoints. */
 import { expect } from 'chai';
 import type { Resource } from '../../src/model/resource.js';
 import { resourceSchema } from '../../src/model/resource.js';
@@ -37,9 +37,9 @@
 }
 
 const FAULT: ItemFault = { path: 'address', found: 'nothing', expected: 'an address' };
-const UNREADABLE: StoreRecord = { kind: 'unused', fault: FAULT };
+const UNPARSABLE: StoreRecord = { kind: 'unused', fault: FAULT };
 
-/** Items whose text is the name of a record. */
+/** Items whose values are keys of records. */
 class Items {
   private readonly records = new Map<string, StoreRecord>();
   private readonly items = new Map<string, StoreChange>();
@@ -71,19 +71,19 @@
   }
 }
 
-describe('snapshots from a store', () => {
-  it('has none before the first configuration', () => {
+describe('snapshots of a store', () => {
+  it('builds no snapshot before the first configuration', () => {
     expect(new Items().put('e', endpoint('e1')).build().snapshot).to.equal(undefined);
   });
 
-  it('joins the configuration and the endpoints', () => {
+  it('combines the configuration and the endpoints', () => {
     const { snapshot } = new Items().put('c', configuration(3)).put('e', endpoint('e1')).build();
     expect(snapshot?.version.source.number).to.equal(3);
     expect(snapshot?.callerLimits).to.equal(CALLER_LIMITS);
     expect(snapshot?.endpointsByService.get('echo')).to.have.length(1);
   });
 
-  it('never goes back to an older configuration, nor to none', () => {
+  it('never returns to an older configuration or to none', () => {
     const items = new Items().put('c', configuration(3));
     items.build();
     const older = items.put('c', configuration(2)).build();
@@ -91,7 +91,7 @@
     expect(items.remove('c').build().snapshot?.version.source.number).to.equal(3);
   });
 
-  it('keeps the configuration before one that does not hold together, and says so once', () => {
+  it('keeps the previous configuration when a new one is inconsistent, and reports it once', () => {
     const dangling = [{ kind: 'route', name: 'r', spec: { pathPrefix: '/', service: 'none' } }];
     const items = new Items().put('c', configuration(3));
     items.build();
@@ -100,21 +100,21 @@
     expect(refused).to.have.length(1);
   });
 
-  it('says once why an item can not be read', () => {
+  it('reports once why an item cannot be parsed', () => {
     const items = new Items().put('c', configuration(1));
-    items.put('x', UNREADABLE);
+    items.put('x', UNPARSABLE);
     expect(items.build().refused).to.deep.equal([{ key: 'x', revision: 2, fault: FAULT }]);
     expect(items.build().refused).to.deep.equal([]);
   });
 
-  it('keeps only the endpoint written last of those that name one address', () => {
+  it('keeps only the endpoint written last among those with the same address', () => {
     const items = new Items().put('c', configuration(1));
     items.put('e', endpoint('before')).put('f', endpoint('now'));
     const endpoints = items.build().snapshot?.endpointsByService.get('echo') ?? [];
     expect(endpoints.map(({ name }) => name)).to.deep.equal(['now']);
   });
 
-  it('goes by the revision of entries of one address, whatever their order and services', () => {
+  it('uses the latest revision for an address regardless of order and service', () => {
     const items = new Items().put('c', configuration(1)).put('f', endpoint('before', 'other'));
     items.put('e', endpoint('now')).put('g', endpoint('beside', 'echo', 2));
     const namesOf = (changes: Iterable<StoreChange>): string[] => {
@@ -125,14 +125,14 @@
     expect(namesOf(items.all().reverse())).to.deep.equal(['beside', 'now']);
   });
 
-  it('leaves out endpoints of services that the configuration does not have, and those removed', () => {
+  it('excludes endpoints of unconfigured services and removed endpoints', () => {
     const items = new Items().put('c', configuration(1));
     items.put('e', endpoint('e1')).put('f', endpoint('f1', 'other', 2));
     expect(items.build().snapshot?.resources.size).to.equal(3);
     expect(items.remove('e').build().snapshot?.endpointsByService.get('echo')).to.have.length(0);
   });
 
-  it('says once that a configuration does not hold together, however often it is built again', () => {
+  it('reports an inconsistent configuration once, even if snapshots are built repeatedly', () => {
     const dangling = [{ kind: 'route', name: 'r', spec: { pathPrefix: '/', service: 'none' } }];
     const items = new Items().put('c', configuration(4, dangling));
     expect(items.build().refused).to.have.length(1);
@@ -141,26 +141,26 @@
     expect(items.put('c', configuration(4, dangling)).build().refused).to.have.length(1);
   });
 
-  it('takes back the endpoint of an entry that was overwritten with one that can not be read', () => {
+  it('removes the endpoint of an entry that was overwritten with an unparsable one', () => {
     const items = new Items().put('c', configuration(1));
     items
       .put('e', endpoint('e1'))
       .put('f', endpoint('f1', 'echo', 2))
       .build();
-    items.put('e', UNREADABLE);
+    items.put('e', UNPARSABLE);
     const endpoints = items.build().snapshot?.endpointsByService.get('echo') ?? [];
     expect(endpoints.map(({ name }) => name)).to.deep.equal(['f1']);
   });
 
-  it('keeps the configuration in force when it is overwritten with one that can not be read', () => {
+  it('keeps the configuration in force when it is overwritten with an unparsable one', () => {
     const items = new Items().put('c', configuration(3));
     items.build();
-    const { snapshot, refused } = items.put('c', UNREADABLE).build();
+    const { snapshot, refused } = items.put('c', UNPARSABLE).build();
     expect(snapshot?.version.source.number).to.equal(3);
     expect(refused).to.have.length(1);
   });
 
-  it('lets an endpoint of a service that is not configured take the address of no other', () => {
+  it('does not replace an endpoint by one of an unconfigured service with the same address', () => {
     const items = new Items().put('c', configuration(1)).put('e', endpoint('held'));
     items.put('f', endpoint('foreign', 'other'));
     const endpoints = items.build().snapshot?.endpointsByService.get('echo') ?? [];
--- a/test/store/store-follower.test.ts
+++ b/test/store/store-follower.test.ts
@@ -1,4 +1,4 @@
-/** A node that follows a store whose answers hold what can't be taken, or lead nowhere. */
+/** A follower of a store whose answers contain rejected items or pages that make no progress. */
 import { expect } from 'chai';
 import type { RefusedItem } from '../../src/store/item-fault.js';
 import type { KeyValueStore, ListPage, WatchBatch } from '../../src/store/key-value-store.js';
@@ -20,13 +20,13 @@
   revision: 4,
 };
 
-describe('a node that follows a store', () => {
+describe('store follower', () => {
   let follower: StoreFollower;
   let events: string[];
 
   afterEach(() => follower.close());
 
-  /** Follows a store that answers lists with these pages, the last one again and again. */
+  /** Follows a store that answers lists with `pages` in order, repeating the last one. */
   function follow(pages: readonly ListPage[]): StoreReplica {
     const remaining = [...pages];
     const batch: WatchBatch = { outcome: 'changes', changes: [], revision: 4 };
@@ -56,7 +56,7 @@
     return replica;
   }
 
-  it('counts a list that leads nowhere as a failed call, and lists again', async () => {
+  it('counts a page that makes no progress as a failed call, and lists again', async () => {
     const replica = follow([WITHOUT_NEXT_KEY, COMPLETE]);
     await pause(300);
     expect(events[0]).to.match(/^lost: .+/);
@@ -64,7 +64,7 @@
     expect(replica.revision).to.equal(4);
   });
 
-  it('tells what an answer held that can not be taken, and takes the rest', async () => {
+  it('reports the rejected items of an answer and applies the others', async () => {
     const replica = follow([COMPLETE]);
     await pause(100);
     expect(events.slice(0, 2)).to.deep.equal(['refused x', 'learned']);
--- a/test/store/store-replica.test.ts
+++ b/test/store/store-replica.test.ts
@@ -1,4 +1,4 @@
-/** The replica of a store: order, repetition, gaps, removals. */
+/** Replica of a store: reordered and repeated changes, gaps, removals. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import type { StoreChange } from '../../src/store/key-value-store.js';
@@ -18,8 +18,8 @@
   return Object.fromEntries([...replica.items()].map(({ key, value }) => [key, value]));
 }
 
-describe('replica of a store', () => {
-  it('never goes back to an older revision of an item', () => {
+describe('store replica', () => {
+  it('never reverts an item to an older revision', () => {
     const replica = new StoreReplica();
     replica.applyChanges([written('a', 7)], 7);
     expect(replica.applyChanges([written('a', 5)], 6)).to.equal(false);
@@ -27,14 +27,14 @@
     expect(replica.revision).to.equal(7);
   });
 
-  it('keeps a removal against an older write that comes later', () => {
+  it('keeps a removal when an older write arrives later', () => {
     const replica = new StoreReplica();
     replica.applyChanges([removed('a', 9)], 9);
     replica.applyChanges([written('a', 8)], 9);
     expect(valuesOf(replica)).to.deep.equal({});
   });
 
-  it('removes what a list does not hold, unless it was written after the list began', () => {
+  it('removes items missing from a list unless they were written after the list started', () => {
     const replica = new StoreReplica();
     // The last page of this list was read after revision 8.
     replica.applyList([written('old', 3), written('new', 12)], 8);
@@ -42,7 +42,7 @@
     expect(valuesOf(replica)).to.deep.equal({ new: 'new@12', kept: 'kept@9' });
   });
 
-  it('does not take a delta that leaves a gap', () => {
+  it('does not apply a delta that leaves a gap', () => {
     const replica = new StoreReplica();
     replica.applyChanges([written('a', 2)], 2);
     const delta = { sinceRevision: 5, revision: 9, changes: [written('a', 9)] };
@@ -50,7 +50,7 @@
     expect(replica.revision).to.equal(2);
   });
 
-  it('gives the whole state to a replica that may have missed forgotten removals', () => {
+  it('returns the full state for a replica that may have missed discarded removals', () => {
     const replica = new StoreReplica();
     const revisions = Array.from({ length: 2_100 }, (_, index) => index + 1);
     replica.applyChanges(
@@ -61,7 +61,7 @@
     expect(replica.deltaSince(2_090).sinceRevision).to.equal(2_090);
   });
 
-  it('does not bring back what is gone since removals that were forgotten', () => {
+  it('does not restore items whose removals were discarded', () => {
     const replica = new StoreReplica();
     const revisions = Array.from({ length: 2_100 }, (_, index) => index + 1);
     replica.applyChanges(
@@ -74,7 +74,7 @@
     expect(valuesOf(replica)).to.deep.equal({});
   });
 
-  it('gives a delta across a list to a peer that is older than what it knew before the list', () => {
+  it('returns a delta across a list unless the revision is within its gap or before the first list', () => {
     const replica = new StoreReplica();
     replica.applyList([written('a', 4), written('b', 5)], 10);
     replica.applyChanges([written('c', 12)], 12);
@@ -89,7 +89,7 @@
     expect(replica.deltaSince(9).sinceRevision).to.equal(0);
   });
 
-  it('converges with its peers whatever they were told, in whatever order', () => {
+  it('converges with its peers for any changes in any order', () => {
     const change = fc.record({
       key: fc.constantFrom('a', 'b', 'c'),
       isRemoved: fc.boolean(),
@@ -130,7 +130,7 @@
   });
 });
 
-/** What a store lists after these changes. */
+/** Items that a store lists after `changes`. */
 function itemsOf(changes: readonly StoreChange[]): StoreChange[] {
   const items = new Map(changes.map((change) => [change.key, change]));
   return [...items.values()].filter(({ value }) => value !== undefined);
--- a/test/store/store-watch.test.ts
+++ b/test/store/store-watch.test.ts
@@ -1,4 +1,4 @@
-/** What a node asks of the store next: pages, watches, lost history, failures. */
+/** Sequence of calls to the store: pages, watches, lost history, failures. */
 import { expect } from 'chai';
 import type { StoreChange } from '../../src/store/key-value-store.js';
 import { revisionOf } from '../../src/store/store-revision.js';
@@ -22,7 +22,7 @@
 }
 
 describe('list and watch of a store', () => {
-  it('begins with a list', () => {
+  it('starts with a list', () => {
     const first: StoreCall = {
       type: 'list',
       afterKey: undefined,
@@ -32,29 +32,29 @@
     expect(new StoreWatch(() => 0.5).start()).to.deep.equal(first);
   });
 
-  it('goes on after the last key, and watches from the first page on', () => {
+  it('requests the page after the last key, then watches from the revision of the first page', () => {
     const watch = new StoreWatch(() => 0.5);
-    const { call, update: learning } = watch.handleAnswer(page(10, 'a', true));
+    const { call, update } = watch.handleAnswer(page(10, 'a', true));
     expect(call).to.deep.include({ type: 'list', afterKey: 'a', delayMs: 0 });
-    expect(learning).to.equal(undefined);
+    expect(update).to.equal(undefined);
     const last = watch.handleAnswer(page(12, 'b'));
     expect(last.call).to.deep.equal({ type: 'watch', afterRevision: 10, delayMs: 0 });
     expect(last.update).to.deep.include({ type: 'list', revision: 10 });
   });
 
-  it('watches on from what it was told, after a pause in which changes gather', () => {
-    const { call, update: learning } = listed().handleAnswer(changes(11, [ITEM]));
+  it('watches from the received revision after a delay that batches changes', () => {
+    const { call, update } = listed().handleAnswer(changes(11, [ITEM]));
     expect(call).to.deep.include({ type: 'watch', afterRevision: 11 });
     expect(call.delayMs).to.be.greaterThan(0);
-    expect(learning).to.deep.include({ type: 'changes', revision: 11 });
+    expect(update).to.deep.include({ type: 'changes', revision: 11 });
   });
 
-  it('watches at once again when nothing changed, and never from an older revision', () => {
+  it('watches again immediately if nothing changed, and never from an older revision', () => {
     const { call } = listed(10).handleAnswer(changes(8, []));
     expect(call).to.deep.equal({ type: 'watch', afterRevision: 10, delayMs: 0 });
   });
 
-  it('lists again when the history is lost, now all that the store has acknowledged', () => {
+  it('lists again with current freshness when the history is lost', () => {
     const { call } = listed().handleAnswer({ outcome: 'history-lost' });
     expect(call).to.deep.equal({
       type: 'list',
@@ -64,41 +64,41 @@
     });
   });
 
-  it('watches from the oldest page of a list whose pages lag by different times', () => {
+  it('watches from the lowest page revision of a list whose pages lag by different times', () => {
     const watch = new StoreWatch(() => 0.5);
     watch.handleAnswer(page(10, 'a', true));
-    const { call, update: learning } = watch.handleAnswer(page(7, 'b'));
+    const { call, update } = watch.handleAnswer(page(7, 'b'));
     expect(call).to.deep.include({ type: 'watch', afterRevision: 7 });
-    expect(learning).to.deep.include({ type: 'list', revision: 7 });
+    expect(update).to.deep.include({ type: 'list', revision: 7 });
   });
 
   it('discards a list whose pages span two eras, and lists again with current freshness', () => {
     const watch = new StoreWatch(() => 0.5);
     watch.handleAnswer(page(10, 'a', true));
-    const { call, update: learning } = watch.handleAnswer(page(revisionOf(1, 7), 'b'));
+    const { call, update } = watch.handleAnswer(page(revisionOf(1, 7), 'b'));
     expect(call).to.deep.include({ type: 'list', afterKey: undefined, freshness: 'current' });
-    expect(learning).to.equal(undefined);
+    expect(update).to.equal(undefined);
     const { update: next } = watch.handleAnswer(page(revisionOf(1, 7), 'a'));
     expect(next).to.have.property('items').with.length(1);
   });
 
-  it('goes on after a pause from what the replica learned meanwhile', () => {
+  it('resumes after a pause from the revision that the replica has reached', () => {
     expect(listed(10).resume(25)).to.deep.equal({ type: 'watch', afterRevision: 25, delayMs: 0 });
     expect(listed(10).resume(4)).to.deep.include({ type: 'watch', afterRevision: 10 });
     expect(new StoreWatch(() => 0.5).resume(4)).to.deep.include({ type: 'list' });
   });
 
-  it('begins a list anew when one of its pages fails', () => {
+  it('restarts a list when one of its pages fails', () => {
     const watch = new StoreWatch(() => 0.5);
     watch.handleAnswer(page(10, 'a', true));
     const { call } = watch.handleAnswer(UNAVAILABLE);
     expect(call).to.deep.include({ type: 'list', afterKey: undefined });
-    const { update: learning } = watch.handleAnswer(page(20, 'b'));
-    expect(learning).to.deep.include({ revision: 20 });
-    expect(learning).to.have.property('items').with.length(1);
+    const { update } = watch.handleAnswer(page(20, 'b'));
+    expect(update).to.deep.include({ revision: 20 });
+    expect(update).to.have.property('items').with.length(1);
   });
 
-  it('backs off while the store fails, within a bound, and is connected again with an answer', () => {
+  it('backs off up to a limit while the store fails, and is connected again after an answer', () => {
     const watch = listed();
     const delays = Array.from({ length: 8 }, () => watch.handleAnswer(UNAVAILABLE).call.delayMs);
     expect(delays[0]).to.be.within(50, 100);
@@ -109,25 +109,25 @@
     expect(watch.isConnected).to.equal(true);
   });
 
-  it('counts a page that leads nowhere as a failure, so that no list goes on for ever', () => {
+  it('counts a page that makes no progress as a failure, so that every list ends', () => {
     const watch = new StoreWatch(() => 0.5);
     watch.handleAnswer(page(10, 'a', true));
-    const { call, update: learning } = watch.handleAnswer(page(10, 'a', true));
+    const { call, update } = watch.handleAnswer(page(10, 'a', true));
     expect(call).to.deep.include({ type: 'list', afterKey: undefined });
     expect(call.delayMs).to.be.greaterThan(0);
-    expect(learning).to.equal(undefined);
+    expect(update).to.equal(undefined);
   });
 
-  it('counts a page without a key that promises another one as a failure', () => {
+  it('counts a page that has a next page but no key as a failure', () => {
     const watch = new StoreWatch(() => 0.5);
     const empty: StoreAnswer = { ...page(10, 'a', true), items: [] } as StoreAnswer;
-    const { call, update: learning } = watch.handleAnswer(empty);
+    const { call, update } = watch.handleAnswer(empty);
     expect(call).to.deep.include({ type: 'list', afterKey: undefined });
     expect(call.delayMs).to.be.greaterThan(0);
-    expect(learning).to.equal(undefined);
+    expect(update).to.equal(undefined);
   });
 
-  it('gives a list up that has more pages than a store can hold', () => {
+  it('abandons a list that exceeds the page limit', () => {
     const watch = new StoreWatch(() => 0.5);
     let delayMs = 0;
     for (let count = 0; count < 10_000 && delayMs === 0; count += 1) {
--- a/test/store/text-patch.test.ts
+++ b/test/store/text-patch.test.ts
@@ -1,11 +1,10 @@
-/** Patches between versions of a text. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { applyPatch, createPatch } from '../../src/store/text-patch.js';
 
 const SEED = 20_261_202;
 
-/** A configuration of many routes, as JSON. */
+/** A configuration with many routes, as JSON. */
 function configuration(version: number, changedRoute: number): string {
   const routes = Array.from({ length: 600 }, (_, idx) => ({
     name: `route-${idx}`,
@@ -15,8 +14,8 @@
   return JSON.stringify({ version, services: [{ name: 'a' }], virtualHosts: [{ routes }] });
 }
 
-describe('patches of texts', () => {
-  it('makes the new text out of the old one', () => {
+describe('text patches', () => {
+  it('converts the old text to the new one', () => {
     const piece = fc.constantFrom('{', '{a', '{b}', ',', 'x', '{"k":1}');
     const text = fc.array(piece, { maxLength: 30 }).map((pieces) => pieces.join(''));
     const property = fc.property(text, text, (oldText, newText) => {
@@ -25,7 +24,7 @@
     fc.assert(property, { seed: SEED, numRuns: 2_000 });
   });
 
-  it('holds little where one of 600 routes and the version change', () => {
+  it('is small when one of 600 routes and the version change', () => {
     const oldText = configuration(7, 20);
     const newText = configuration(8, 400);
     const patch = createPatch(oldText, newText);
@@ -33,12 +32,12 @@
     expect(JSON.stringify(patch).length).to.be.below(newText.length / 50);
   });
 
-  it('is refused where it does not fit', () => {
+  it('is rejected if it does not match the old text', () => {
     expect(applyPatch('short', [[0, 9]])).to.equal(undefined);
     expect(applyPatch('short', [[3, 1]])).to.equal(undefined);
   });
 
-  it('is refused when it makes a text that is too long out of many ranges', () => {
+  it('is rejected if its ranges produce a text that is too long', () => {
     const text = 'x'.repeat(100_000);
     const patch = Array.from({ length: 10_000 }, () => [0, text.length] as const);
     expect(applyPatch(text, patch)).to.equal(undefined);
