--- a/src/source/candidate-policies.ts
+++ b/src/source/candidate-policies.ts
@@ -74,11 +74,8 @@
     if (this.context.electorate.slots.length === 0 || this.electors().length === 0) {
       return Infinity;
     }
-    const remainingPauseMs = Math.max(0, this.pausedUntilMs - nowMs);
-    return (
-      remainingPauseMs +
-      (this.isElector() ? this.electorDelayMs(failures, nowMs) : this.requestDelayMs())
-    );
+    const pauseMs = Math.max(0, this.pausedUntilMs - nowMs);
+    return pauseMs + (this.isElector() ? this.electorDelayMs(failures, nowMs) : this.rankDelayMs());
   }
 
   protected isPaused(nowMs: number): boolean {
@@ -90,7 +87,7 @@
     return this.slots().filter((slot) => this.context.elector.grantedUntilMs(slot) <= nowMs);
   }
 
-  private requestDelayMs(): number {
+  private rankDelayMs(): number {
     return REQUEST_INTERVAL_MS * (1 + this.rank()) * (0.5 + this.context.random());
   }
 
