--- a/src/dissemination/document-adopter.ts
+++ b/src/dissemination/document-adopter.ts
@@ -1,6 +1,6 @@
 /**
- * Puts documents into force, wherever they come from: the platform, the operators' replication or a
- * neighbour. What was adopted is passed on; what was refused is told once to the fleet.
+ * Adopts documents from the platform, the operators' replication and neighbours. Adopted documents
+ * are propagated to the neighbours. Each refused source version is reported to the fleet once.
  */
 import type {
   ControlEffect,
@@ -18,18 +18,21 @@
 import type { RejectionFlood } from './rejection-flood.js';
 import type { VersionAnnouncer } from './version-announcer.js';
 
-/** What this node's own reads of the configuration source have shown; peers' reads are not in it. */
-export interface SourceEvidence {
-  /** When the source last answered a read of this node, in milliseconds; undefined if never. */
+/** Result of this node's own reads of the configuration source; excludes reads by peers. */
+export interface SourceReadStatus {
+  /**
+   * Time of the last answer of the source to a read of this node, in milliseconds; undefined if
+   * none.
+   */
   readonly lastAnswerAtMs: number | undefined;
-  /** Whether that answer was older than, or in conflict with, what was held. */
+  /** Whether that answer was older than the held document or in conflict with it. */
   readonly isStale: boolean;
 }
 
-/** The one way in which a held document changes. */
+/** The only component that changes the held documents. */
 export class DocumentAdopter implements PlatformDocumentSink, OperatorDocumentSink {
   private readonly adoptedAt = new Map<DocumentName, number>();
-  private evidence: SourceEvidence = { lastAnswerAtMs: undefined, isStale: false };
+  private sourceReads: SourceReadStatus = { lastAnswerAtMs: undefined, isStale: false };
 
   constructor(
     private readonly store: DocumentStore,
@@ -38,14 +41,13 @@
     private readonly counters: CounterSink,
   ) {}
 
-  /** When the held version was adopted, in milliseconds; undefined when nothing is held. */
+  /** Time at which the held version was adopted, in milliseconds; undefined if none is held. */
   adoptedAtMs(name: DocumentName): number | undefined {
     return this.adoptedAt.get(name);
   }
 
-  /** What reads of the source by this node have shown. */
-  sourceEvidence(): SourceEvidence {
-    return this.evidence;
+  sourceReadStatus(): SourceReadStatus {
+    return this.sourceReads;
   }
 
   offer(document: PlatformDocument, answer: PlatformAnswer, nowMs: number): ControlEffect[] {
@@ -53,7 +55,7 @@
     const verdict = judgePlatformAnswer(this.store.held(document), answer);
     if (document === 'source' && answer.outcome !== 'unavailable') {
       const isStale = verdict.outcome === 'stale' || verdict.outcome === 'conflict';
-      this.evidence = { lastAnswerAtMs: nowMs, isStale };
+      this.sourceReads = { lastAnswerAtMs: nowMs, isStale };
     }
     switch (verdict.outcome) {
       case 'newer':
@@ -67,7 +69,7 @@
         break;
       case 'invalid':
         this.counters.add(CONTROL_COUNTERS.invalidSourceAnswers);
-        this.noteRefusal(document, verdict.version, verdict.reason, undefined, effects);
+        this.reportRefusal(document, verdict.version, verdict.reason, undefined, effects);
         break;
       case 'nothing':
         break;
@@ -89,7 +91,7 @@
     return this.store.held('operator');
   }
 
-  /** Adopts a document heard from `from`, or found here; returns whether it is now in force. */
+  /** Adopts a document from neighbour `from`, or from this node; returns whether it was adopted. */
   adopt(
     name: DocumentName,
     document: VersionedDocument,
@@ -99,7 +101,7 @@
   ): boolean {
     const adoption = this.store.adopt(name, document);
     if (adoption.outcome === 'refused') {
-      this.noteRefusal(name, document.version, adoption.reason, from, effects);
+      this.reportRefusal(name, document.version, adoption.reason, from, effects);
     }
     if (adoption.outcome !== 'adopted') {
       return false;
@@ -111,11 +113,11 @@
     if (name !== 'machines') {
       effects.push({ type: 'snapshot-changed', snapshot: this.store.configuration().snapshot });
     }
-    this.announcer.passOn(name, nowMs, effects);
+    this.announcer.propagate(name, nowMs, effects);
     return true;
   }
 
-  /** A rejection was heard from a neighbour. */
+  /** Records a rejection from neighbour `from`, or from this node. */
   learnRejection(
     version: DocumentVersion,
     reason: string,
@@ -125,7 +127,7 @@
     this.rejections.learn(version, reason, this.heldNumber('source'), from, effects);
   }
 
-  private noteRefusal(
+  private reportRefusal(
     name: DocumentName,
     version: DocumentVersion,
     reason: string,
--- a/src/dissemination/version-announcer.ts
+++ b/src/dissemination/version-announcer.ts
@@ -1,6 +1,6 @@
 /**
- * Tells overlay neighbours what is held here: a small delta to a neighbour known to hold an older
- * version of the same history, otherwise an announcement of all versions.
+ * Notifies overlay neighbours of held versions: pushes a small delta to a neighbour that is known
+ * to hold an older version of the same history, otherwise announces all versions.
  */
 import type { ControlEffect, CounterSink } from '../control/control-event.js';
 import { CONTROL_COUNTERS } from '../control/control-counters.js';
@@ -16,15 +16,15 @@
 import type { DocumentStore } from './document-store.js';
 import { newNeighbour, type Neighbour } from './neighbour.js';
 
-/** Heartbeats in a row with another digest before the versions are announced. */
+/** Consecutive heartbeats with a different digest after which the versions are announced. */
 const DIFFERING_HEARTBEATS_BEFORE_ANNOUNCEMENT = 2;
 
-/** The neighbours and what each is known to hold. */
+/** Tracks the versions of each neighbour and announces this node's versions. */
 export class VersionAnnouncer {
   readonly neighbours = new Map<string, Neighbour>();
   private heartbeat: HeartbeatMessage;
 
-  /** `announcementIntervalMs`: least time between two announcements without a change. */
+  /** `announcementIntervalMs`: minimum interval between announcements without a change. */
   constructor(
     private readonly self: PeerIdentity,
     private readonly store: DocumentStore,
@@ -42,14 +42,14 @@
     return this.heartbeat;
   }
 
-  /** A neighbour was confirmed: it is told what is held here. */
+  /** Adds a confirmed neighbour and announces the held versions to it. */
   add(peer: PeerIdentity, nowMs: number, effects: ControlEffect[]): void {
     const neighbour = newNeighbour(this.self, peer);
     this.neighbours.set(peer.id, neighbour);
     this.announce(neighbour, nowMs, effects);
   }
 
-  /** Compares digests; a difference that lasts is answered by an announcement. */
+  /** Compares digests; announces the held versions if a difference persists. */
   handleHeartbeat(
     from: string,
     message: HeartbeatMessage,
@@ -62,24 +62,24 @@
     }
     if (message.versionsDigest === this.store.versionsDigest()) {
       neighbour.differingHeartbeats = 0;
-      neighbour.known = this.store.versions();
+      neighbour.held = this.store.versions();
       return;
     }
     neighbour.differingHeartbeats += 1;
-    const isLasting = neighbour.differingHeartbeats >= DIFFERING_HEARTBEATS_BEFORE_ANNOUNCEMENT;
-    if (isLasting && nowMs >= neighbour.nextAnnouncementAt) {
+    const isPersistent = neighbour.differingHeartbeats >= DIFFERING_HEARTBEATS_BEFORE_ANNOUNCEMENT;
+    if (isPersistent && nowMs >= neighbour.nextAnnouncementAt) {
       this.announce(neighbour, nowMs, effects);
     }
   }
 
-  /** A neighbour said what it holds: it is helped along where it is behind. */
+  /** Records the versions of a neighbour, and pushes or announces newer ones to it. */
   handleVersions(
     neighbour: Neighbour,
     versions: HeldVersions,
     nowMs: number,
     effects: ControlEffect[],
   ): void {
-    neighbour.known = versions;
+    neighbour.held = versions;
     let mustAnnounce = false;
     for (const name of DOCUMENT_NAMES) {
       if (isNewer(this.store.held(name).version, versions[name])) {
@@ -91,41 +91,45 @@
     }
   }
 
-  /** Tells every neighbour of a version that was just adopted, unless it is known to hold it. */
-  passOn(name: DocumentName, nowMs: number, effects: ControlEffect[]): void {
+  /** Pushes or announces a newly adopted version to every neighbour not known to hold it. */
+  propagate(name: DocumentName, nowMs: number, effects: ControlEffect[]): void {
     const held = this.store.held(name).version;
     for (const neighbour of this.neighbours.values()) {
-      const known = neighbour.known?.[name];
-      const isHeldThere = known !== undefined && compareVersions(known, held) >= 0;
-      if (!isHeldThere && !this.push(neighbour, name, effects)) {
+      const knownVersion = neighbour.held?.[name];
+      const isUpToDate = knownVersion !== undefined && compareVersions(knownVersion, held) >= 0;
+      if (!isUpToDate && !this.push(neighbour, name, effects)) {
         this.announce(neighbour, nowMs, effects);
       }
     }
   }
 
-  /** A neighbour sent a version, so it holds it. */
-  noteKnown(from: string, name: DocumentName, version: DocumentVersion): void {
+  /** Records that a neighbour holds a version, because it sent it. */
+  recordKnownVersion(from: string, name: DocumentName, version: DocumentVersion): void {
     const neighbour = this.neighbours.get(from);
-    const known = neighbour?.known;
-    if (neighbour !== undefined && known !== undefined && isNewer(version, known[name])) {
-      neighbour.known = { ...known, [name]: version };
+    const knownVersions = neighbour?.held;
+    if (
+      neighbour !== undefined &&
+      knownVersions !== undefined &&
+      isNewer(version, knownVersions[name])
+    ) {
+      neighbour.held = { ...knownVersions, [name]: version };
     }
   }
 
   private push(neighbour: Neighbour, name: DocumentName, effects: ControlEffect[]): boolean {
-    const known = neighbour.known;
+    const knownVersions = neighbour.held;
     const held = this.store.held(name);
-    if (known === undefined) {
+    if (knownVersions === undefined) {
       return false;
     }
-    const sized = this.store.memo.deltaFrom(held, known[name]);
+    const sized = this.store.memo.deltaFrom(held, knownVersions[name]);
     if (sized === undefined || sized.bytes >= MAX_PUSHED_DELTA_BYTES) {
       return false;
     }
     this.counters.add(CONTROL_COUNTERS.deltasPushed);
     const message = { type: 'delta', document: name, ...sized.delta } as const;
     effects.push({ type: 'send', to: neighbour.peer.id, message });
-    neighbour.known = { ...known, [name]: held.version };
+    neighbour.held = { ...knownVersions, [name]: held.version };
     return true;
   }
 
--- a/src/proxy/gated-call.ts
+++ b/src/proxy/gated-call.ts
@@ -1,6 +1,6 @@
 /**
- * One request at the gate of its endpoint: waiting, then dispatched. Executes the effects of
- * {@link EndpointAttempt}.
+ * A request that waits in the queue of one endpoint and is then dispatched to it. Executes the
+ * effects of {@link EndpointAttempt}.
  */
 import type { Endpoint } from '../model/resource.js';
 import { attemptError, DEFAULT_RETRY_AFTER_MS, endpointRefusedError } from './attempt-errors.js';
@@ -11,59 +11,74 @@
   type EndpointAttemptEffect,
   type EndpointAttemptEvent,
 } from './endpoint-attempt.js';
-import type { EndpointPort } from './endpoint-client.js';
+import type { EndpointConnector } from './endpoint-client.js';
 import type { Exchange, ExchangeFailure } from './http-exchange.js';
-import type { EndpointWork } from './loss-judge.js';
+import type { EndpointRequest } from './loss-judge.js';
 import { refusalLeadMs } from './refusal-lead.js';
 import type { CancelTimer, Scheduler } from './scheduler.js';
 import { CannotFinishInTimeError, EndpointGoneError, type RequestError } from './request-error.js';
 
-/** Least time that a cancellation is waited for, in milliseconds. */
+/** Minimum timeout of a cancellation, in milliseconds. */
 const MIN_CANCEL_TIMEOUT_MS = 20;
-/** A slot whose request can't be accounted for stays taken for this long past its deadline. */
+/**
+ * Time past the deadline after which the slot of a request with an unknown outcome is freed, in
+ * milliseconds.
+ */
 const ORPHAN_HOLD_MS = 1_000;
 
-/** Answers from this status on report a fault of the endpoint. */
-const FAULT_STATUS = 500;
+/** Responses with this status or a higher one report a fault of the endpoint. */
+const MIN_SERVER_ERROR_STATUS = 500;
 
-/** How requests are cancelled: the time that is kept for it at their end, and what it does. */
+/**
+ * How requests are cancelled: the time reserved for the cancellation before the deadline, and when
+ * the slot is freed.
+ */
 export interface CancelLead {
-  /** Part of the remaining time. */
+  /** Share of the remaining time that is reserved. */
   readonly cancelLeadShare: number;
-  /** Most of it, in milliseconds. */
+  /** Upper limit of the reserved time, in milliseconds. */
   readonly maxCancelLeadMs: number;
   /** See {@link EndpointProtocol.slotFreedAfterCloseMs}. */
   readonly slotFreedAfterCloseMs?: number | undefined;
 }
 
-/** What a request needs of its gate. */
+/** The part of the endpoint's gate that a request uses. */
 export interface CallGate {
-  /** Load, with the time that the class of work takes. */
+  /** Load of the endpoint, with the mean service time of the work class. */
   load(workClass: string): LoadReport;
-  /** The request is given up; true when it was still waiting. */
+  /** Withdraws a request; returns true when it was still waiting. */
   withdraw(call: Call): boolean;
-  /** A request that waited is refused, to come back after `retryAfterMs`; for the log. */
+  /** Logs that a waiting request was refused and should be retried after `retryAfterMs`. */
   recordExpiry(call: Call, retryAfterMs: number): void;
-  /** A dispatched request no longer occupies the endpoint; with its time when it was answered. */
+  /**
+   * Frees the slot of a dispatched request; `serviceMs` is its service time when it was answered.
+   */
   release(call: Call, serviceMs: number | undefined): void;
-  /** A dispatched request is given up while the endpoint is at work on it, for `elapsedMs` so far. */
-  gaveUp(call: Call, elapsedMs: number): void;
-  /** The endpoint answered and told its load. */
-  takeLoad(load: LoadReport | undefined): void;
-  /** What a dispatched request came to, where that speaks for the endpoint. */
-  takeOutcome(hasFailed: boolean): void;
-  /** The endpoint got the request and did not answer it; for the log. */
+  /**
+   * Records that a dispatched request was given up after `elapsedMs`, while the endpoint was
+   * processing it.
+   */
+  recordUnfinished(call: Call, elapsedMs: number): void;
+  /** Applies the load that the endpoint reported with a response. */
+  applyLoadReport(load: LoadReport | undefined): void;
+  /** Records whether a dispatched request failed, where its outcome reflects on the endpoint. */
+  recordOutcome(hasFailed: boolean): void;
+  /** Logs that the endpoint received the request and did not answer it. */
   recordFailure(call: Call, code: string, elapsedMs: number, detail: string): void;
-  /** The endpoint refused before the start. */
-  takeRefusal(load: LoadReport | undefined): void;
-  /** The connection was lost; `report` gets whether the endpoint's process ended. */
-  judgeLoss(gated: GatedCall, report: (hasEnded: boolean) => void): void;
-  /** The endpoint answered in whole; `isSuccess` unless the answer reports a fault of its own. */
-  answeredWhole(gated: GatedCall, isSuccess: boolean): void;
+  /** Applies a refusal that the endpoint sent before it started the request. */
+  applyRefusal(load: LoadReport | undefined): void;
+  /**
+   * Determines after the loss of a connection whether the endpoint's process exited; `report`
+   * receives the result.
+   */
+  classifyLoss(gated: GatedCall, report: (hasExited: boolean) => void): void;
+  /**
+   * Records a complete response; `isSuccess` unless the response reports a fault of the endpoint.
+   */
+  answerCompleted(gated: GatedCall, isSuccess: boolean): void;
 }
 
-/** One request. */
-export class GatedCall implements Attempt, EndpointWork {
+export class GatedCall implements Attempt, EndpointRequest {
   private attempt: EndpointAttempt | undefined;
   private exchange: Exchange | undefined;
   private answer: Answer | undefined;
@@ -74,23 +89,23 @@
   private isOver = false;
   private isEndpointGone = false;
   private isAbandoned = false;
-  /** Whether the exchange is over, or was given up. */
+  /** Whether the exchange ended or was aborted. */
   private isExchangeOver = false;
 
   constructor(
     private gate: CallGate,
-    private readonly client: EndpointPort,
+    private readonly client: EndpointConnector,
     private endpoint: Endpoint,
     readonly call: Call,
     private readonly observer: AttemptObserver,
     private readonly scheduler: Scheduler,
-    private readonly lead: CancelLead,
+    private readonly cancelLead: CancelLead,
   ) {}
 
   abort(): void {
     this.isAbandoned = true;
     if (this.attempt !== undefined) {
-      this.noteUnfinished();
+      this.recordUnfinished();
       this.handle({ type: 'abandoned', wasSent: this.exchange?.wasSent() === true });
     } else if (!this.isOver) {
       this.isOver = true;
@@ -99,7 +114,7 @@
     }
   }
 
-  /** The request waits at another gate from now on: it is sent to that one's endpoint. */
+  /** Moves a waiting request to another gate; it will be sent to that gate's endpoint. */
   moveTo(gate: CallGate, endpoint: Endpoint): void {
     this.cancelTimer?.();
     this.gate = gate;
@@ -110,23 +125,25 @@
     return this.attempt === undefined || this.exchange?.wasSent() === false;
   }
 
-  /** Whether the endpoint has got the request, so that it may be at work on it until its slot is free. */
-  isAtWork(): boolean {
+  /**
+   * Whether the endpoint has received the request and may be processing it until its slot is freed.
+   */
+  isInProgress(): boolean {
     return this.exchange?.wasSent() === true;
   }
 
   isConnected(): boolean {
-    return this.isAtWork() && !this.isExchangeOver;
+    return this.isInProgress() && !this.isExchangeOver;
   }
 
-  /** Refuses the request when it still waits at `latestStartAtMs`. */
-  waitUntil(latestStartAtMs: number): void {
+  /** Refuses the request if it is still waiting at `latestStartAtMs`. */
+  scheduleExpiry(latestStartAtMs: number): void {
     if (this.attempt === undefined && !this.isOver) {
       const nowMs = this.scheduler.now();
-      const leftMs = this.call.deadlineAtMs - nowMs;
-      const leadMs = Math.max(this.cancelLeadMs(nowMs), refusalLeadMs(leftMs));
-      const lastMomentMs = this.call.deadlineAtMs - leadMs;
-      const delayMs = Math.min(latestStartAtMs, lastMomentMs) - nowMs;
+      const remainingMs = this.call.deadlineAtMs - nowMs;
+      const leadMs = Math.max(this.cancelLeadMs(nowMs), refusalLeadMs(remainingMs));
+      const latestExpiryAtMs = this.call.deadlineAtMs - leadMs;
+      const delayMs = Math.min(latestStartAtMs, latestExpiryAtMs) - nowMs;
       this.cancelTimer = this.scheduler.schedule(delayMs, () => this.expireWaiting());
     }
   }
@@ -144,74 +161,79 @@
     const remainingMs = this.call.deadlineAtMs - this.dispatchedAtMs;
     const workMs = remainingMs - this.cancelLeadMs(this.dispatchedAtMs);
     this.cancelTimer = this.scheduler.schedule(workMs, () => {
-      this.noteUnfinished();
+      this.recordUnfinished();
       this.handle({ type: 'deadline', wasSent: this.exchange?.wasSent() === true });
     });
     this.exchange = this.client.send(this.endpoint, this.call, workMs, {
-      answered: (answer) => this.takeAnswer(answer),
+      answered: (answer) => this.handleAnswer(answer),
       refused: (load, retryAfterMs, isOtherEndpoint) => {
         this.isEndpointGone = isOtherEndpoint;
-        this.takeRefusal(load, retryAfterMs);
+        this.handleRefusal(load, retryAfterMs);
       },
-      failed: (failure) => this.takeLoss(failure),
+      failed: (failure) => this.handleFailure(failure),
     });
   }
 
-  /** Without such times only what an endpoint finished would count: the slower it is, the less of it. */
-  private noteUnfinished(): void {
+  /**
+   * Reports the elapsed time of an unfinished request. If only completed requests counted, a slower
+   * endpoint would contribute fewer measurements, and its service time would be underestimated.
+   */
+  private recordUnfinished(): void {
     if (this.answer === undefined && this.isConnected()) {
-      this.gate.gaveUp(this.call, this.scheduler.now() - this.dispatchedAtMs);
+      this.gate.recordUnfinished(this.call, this.scheduler.now() - this.dispatchedAtMs);
     }
   }
 
-  private takeLoss(failure: ExchangeFailure): void {
+  private handleFailure(failure: ExchangeFailure): void {
     this.isExchangeOver = true;
     if (failure !== 'lost') {
       this.handle({ type: 'failed', failure });
       return;
     }
-    this.gate.judgeLoss(this, (hasEnded) => {
-      this.handle(hasEnded ? { type: 'ended' } : { type: 'failed', failure });
+    this.gate.classifyLoss(this, (hasExited) => {
+      this.handle(hasExited ? { type: 'ended' } : { type: 'failed', failure });
     });
   }
 
   private expireWaiting(): void {
     if (this.attempt === undefined && this.gate.withdraw(this.call)) {
       this.gate.recordExpiry(this.call, DEFAULT_RETRY_AFTER_MS);
-      this.refuse(new CannotFinishInTimeError('no slot came free in time', DEFAULT_RETRY_AFTER_MS));
+      this.refuse(
+        new CannotFinishInTimeError('no slot became free in time', DEFAULT_RETRY_AFTER_MS),
+      );
     }
   }
 
-  private takeAnswer(answer: Answer): void {
+  private handleAnswer(answer: Answer): void {
     this.answer = answer;
-    this.gate.takeLoad(answer.load);
+    this.gate.applyLoadReport(answer.load);
     const { body } = answer;
     if (body.kind === 'held') {
       this.handle({ type: 'answered' });
-      this.endAnswer(answer.status, true);
+      this.handleAnswerEnd(answer.status, true);
       return;
     }
-    body.stream.once('close', () => this.endAnswer(answer.status, body.isWhole()));
+    body.stream.once('close', () => this.handleAnswerEnd(answer.status, body.isComplete()));
     this.handle({ type: 'answered' });
   }
 
-  private endAnswer(status: number, isWhole: boolean): void {
+  private handleAnswerEnd(status: number, isWhole: boolean): void {
     this.isExchangeOver = true;
     if (isWhole) {
-      this.gate.answeredWhole(this, status < FAULT_STATUS);
+      this.gate.answerCompleted(this, status < MIN_SERVER_ERROR_STATUS);
     } else if (!this.isAbandoned) {
-      this.gate.judgeLoss(this, () => undefined);
+      this.gate.classifyLoss(this, () => undefined);
     }
     if (!this.isAbandoned) {
-      this.gate.takeOutcome(!isWhole || status >= FAULT_STATUS);
+      this.gate.recordOutcome(!isWhole || status >= MIN_SERVER_ERROR_STATUS);
     }
     this.handle({ type: 'answer-ended', isWhole });
   }
 
-  private takeRefusal(load: LoadReport | undefined, retryAfterMs: number | undefined): void {
+  private handleRefusal(load: LoadReport | undefined, retryAfterMs: number | undefined): void {
     this.load = load;
     this.retryAfterMs = retryAfterMs;
-    this.gate.takeRefusal(load);
+    this.gate.applyRefusal(load);
     this.handle({ type: 'refused' });
   }
 
@@ -224,7 +246,7 @@
   private execute(effect: EndpointAttemptEffect): void {
     switch (effect.type) {
       case 'pass-answer':
-        return this.passAnswer();
+        return this.forwardAnswer();
       case 'report':
         return this.report(effect.report);
       case 'send-cancel':
@@ -242,19 +264,19 @@
   private report(report: AttemptReport): void {
     const error = this.errorOf(report);
     if (report !== 'refused') {
-      this.gate.takeOutcome(true);
+      this.gate.recordOutcome(true);
     }
     const elapsedMs = this.scheduler.now() - this.dispatchedAtMs;
     this.gate.recordFailure(this.call, error.code, elapsedMs, this.describeLoad());
     this.observer.failed(error, this.gate.load(this.call.workClass));
   }
 
-  /** The load that the endpoint told with its refusal. */
+  /** The load that the endpoint reported with its refusal. */
   private describeLoad(): string {
     return this.load === undefined ? '' : `load ${this.load.inFlight}/${this.load.slots}`;
   }
 
-  private passAnswer(): void {
+  private forwardAnswer(): void {
     if (this.answer !== undefined) {
       this.cancelTimer?.();
       const draining = this.answer.load?.draining === true;
@@ -265,21 +287,24 @@
 
   private sendCancel(): void {
     this.cancelTimer?.();
-    const leftMs = this.call.deadlineAtMs - this.scheduler.now();
-    const timeoutMs = Math.max(MIN_CANCEL_TIMEOUT_MS, Math.min(this.lead.maxCancelLeadMs, leftMs));
+    const remainingMs = this.call.deadlineAtMs - this.scheduler.now();
+    const timeoutMs = Math.max(
+      MIN_CANCEL_TIMEOUT_MS,
+      Math.min(this.cancelLead.maxCancelLeadMs, remainingMs),
+    );
     this.client.cancel(this.endpoint, this.call.requestId, timeoutMs, (outcome) => {
       this.handle({ type: 'cancel-answered', outcome });
     });
   }
 
   private cancelLeadMs(nowMs: number): number {
-    const { cancelLeadShare, maxCancelLeadMs } = this.lead;
+    const { cancelLeadShare, maxCancelLeadMs } = this.cancelLead;
     return Math.min(maxCancelLeadMs, (this.call.deadlineAtMs - nowMs) * cancelLeadShare);
   }
 
   private holdSlot(): void {
     const untilDeadlineMs = Math.max(0, this.call.deadlineAtMs - this.scheduler.now());
-    const holdMs = this.lead.slotFreedAfterCloseMs ?? untilDeadlineMs + ORPHAN_HOLD_MS;
+    const holdMs = this.cancelLead.slotFreedAfterCloseMs ?? untilDeadlineMs + ORPHAN_HOLD_MS;
     this.cancelTimer = this.scheduler.schedule(holdMs, () => this.handle({ type: 'hold-over' }));
   }
 
@@ -292,7 +317,7 @@
   private errorOf(report: AttemptReport): RequestError {
     const { name } = this.endpoint;
     if (this.isEndpointGone) {
-      return new EndpointGoneError(`another process has the address of endpoint ${name}`);
+      return new EndpointGoneError(`another process is running at the address of endpoint ${name}`);
     }
     return report === 'refused'
       ? endpointRefusedError(name, this.load?.draining === true, this.retryAfterMs)
--- a/src/proxy/relay/relay-link.ts
+++ b/src/proxy/relay/relay-link.ts
@@ -1,91 +1,88 @@
-/** The connection of a node to one peer: opened by an HTTP upgrade, shared by the attempts there. */
+/** Connection of a node to one peer, opened by an HTTP upgrade and shared by all attempts at that peer. */
 import http from 'node:http';
 import type { Socket } from 'node:net';
 import type { Endpoint } from '../../model/resource.js';
 import type { Attempt, AttemptObserver, Call } from '../call.js';
 import type { Scheduler } from '../scheduler.js';
-import { LinkPulse, LOSS_MS, type PulseLimits } from './link-pulse.js';
+import { ConnectionLiveness, LOSS_TIMEOUT_MS, type LivenessLimits } from './link-pulse.js';
 import { RelayConnection } from './relay-connection.js';
 import type { StreamFrame } from './relay-frame.js';
 import { RELAY_PROTOCOL, RELAY_TOKEN_HEADER } from './relay-protocol.js';
 import { RelayedAttempt } from './relayed-attempt.js';
 
-/** A connection on which nothing is awaited is closed after this time, in milliseconds. */
+/** Time after which an idle connection is closed, in milliseconds. */
 const IDLE_CONNECTION_MS = 30_000;
 
 /**
- * A sender asks after a short quiet: a call that waits on a silent connection has some hundred
+ * Senders ping after a short idle time: a call that waits on an unresponsive connection has only a few hundred
  * milliseconds.
  */
-const SENDER_PULSE: PulseLimits = { quietMs: 100, unprovenLossMs: LOSS_MS };
-/** Time in which a connection that is of no use any more sends what it has, in milliseconds. */
+const SENDER_LIVENESS: LivenessLimits = { quietMs: 100, unconfirmedLossTimeoutMs: LOSS_TIMEOUT_MS };
+/** Time for a connection that is no longer used to send its queued frames, in milliseconds. */
 const CLOSE_TIMEOUT_MS = 1_000;
 
-/** Where a peer takes relayed requests. */
+/** Address at which a peer accepts relayed requests. */
 export interface RelayAddress {
   readonly address: string;
   readonly port: number;
 }
 
-/** What a link needs of its node. */
+/** Dependencies of a link on its node. */
 export interface RelayLinkOptions {
-  /** Time to open a connection. */
+  /** Timeout for opening a connection. */
   readonly connectTimeoutMs: number;
   readonly scheduler: Scheduler;
-  /** Told how long a connection took to open, or to fail, in milliseconds. */
+  /** Called with the time a connection took to open, or to fail, in milliseconds. */
   readonly onConnect?: (address: RelayAddress, connectMs: number, isOpen: boolean) => void;
-  /** Told that a connection is silent though a new one works, with what is awaited on it. */
-  readonly onSilence?: (address: RelayAddress, silence: LinkSilence) => void;
-  /** Whether the configuration in force names the endpoint; it always does when absent. */
+  /** Called when a connection is unresponsive although a new one works. */
+  readonly onUnresponsive?: (address: RelayAddress, silence: UnresponsiveConnection) => void;
+  /** Whether the current configuration lists the endpoint; if absent, every endpoint is listed. */
   readonly isListed?: (endpoint: Endpoint) => boolean;
-  /** A token that is valid now; undefined where the fleet has no key. */
+  /** Returns a currently valid token; undefined if the fleet has no key. */
   readonly token: () => string | undefined;
 }
 
-/** What is known of a silent connection. */
-export interface LinkSilence {
-  /** Requests that were under way on it. */
+/** State of an unresponsive connection. */
+export interface UnresponsiveConnection {
+  /** Number of requests in flight on it. */
   readonly awaitedCount: number;
-  /** Time since anything arrived on it, in milliseconds. */
+  /** Time since bytes last arrived on it, in milliseconds. */
   readonly quietMs: number;
 }
 
-/** Told of the end of a link. */
+/** Receives the state changes of a link. */
 export interface RelayLinkObserver {
-  /** It takes no new attempts. */
+  /** The link accepts no new attempts. */
   readonly retired: () => void;
-  /** It takes no new attempts; another connection is to show whether the peer is alive. */
+  /** The link accepts no new attempts; a new connection has to show whether the peer is alive. */
   readonly suspect: () => void;
-  /** It is open. */
   readonly opened: () => void;
-  /** It did not open. A machine that is there answers in time, if only that nothing listens. */
-  readonly notOpened: (isAnswered: boolean) => void;
+  /** The connection could not be opened. A reachable machine answers in time, even if only by refusing it. */
+  readonly openFailed: (isAnswered: boolean) => void;
   readonly closed: () => void;
 }
 
-/** Tells addresses apart. */
 export function keyOf({ address, port }: RelayAddress): string {
   return `${address}:${port}`;
 }
 
-/** The connection, and the attempts on it. */
+/** A connection and its attempts. */
 export class RelayLink {
   readonly key: string;
   private readonly streams = new Map<number, RelayedAttempt>();
   private readonly request: http.ClientRequest;
   private connection: RelayConnection | undefined;
-  private readonly beganAtMs: number;
+  private readonly connectStartedAtMs: number;
   private lastStreamId = 0;
-  private isOver = false;
-  /** Whether the peer's machine has answered, be it that nothing listens. */
-  private isMachineThere = false;
+  private isClosed = false;
+  /** Whether the peer's machine has answered, even if only by refusing the connection. */
+  private hasMachineAnswered = false;
   private isSuspect = false;
-  /** Whether it says nothing while a new connection works. */
-  private isSilent = false;
-  /** Since when nothing at all has been heard of the peer for long; undefined where that is not so. */
+  /** Whether nothing arrives on the connection while a new one works. */
+  private isUnresponsive = false;
+  /** When the connection was lost without a working new one; undefined if it was not. */
   private peerLostAtMs: number | undefined;
-  /** When the last request was sent. */
-  private sentAtMs = -Infinity;
+  private lastSentAtMs = -Infinity;
 
   constructor(
     private readonly address: RelayAddress,
@@ -93,14 +90,14 @@
     private readonly observer: RelayLinkObserver,
   ) {
     this.key = keyOf(address);
-    this.beganAtMs = options.scheduler.now();
+    this.connectStartedAtMs = options.scheduler.now();
     this.request = http.request({
       host: address.address,
       port: address.port,
       agent: false,
       headers: this.upgradeHeaders(),
     });
-    // After a pause of the process the connection may be open, and the timer come before that is read.
+    // After a pause of the process the timer may fire before the socket event of an open connection is read.
     const timer = setTimeout(
       () => setImmediate(() => this.endUnopened()),
       options.connectTimeoutMs,
@@ -117,18 +114,18 @@
     this.request.once('response', () => this.request.destroy());
     this.request.once('socket', (socket) =>
       socket.once('connect', () => {
-        this.isMachineThere = true;
+        this.hasMachineAnswered = true;
       }),
     );
     this.request.on('error', ({ code }: NodeJS.ErrnoException) => {
-      this.isMachineThere ||= code === 'ECONNREFUSED';
+      this.hasMachineAnswered ||= code === 'ECONNREFUSED';
     });
     this.request.once('close', () => {
       clearTimeout(timer);
       if (this.connection === undefined) {
         this.reportConnect(false);
         this.end('never-sent');
-        this.observer.notOpened(this.isMachineThere);
+        this.observer.openFailed(this.hasMachineAnswered);
       }
     });
     this.request.end();
@@ -139,7 +136,7 @@
     const streamId = this.lastStreamId;
     const attempt = new RelayedAttempt(streamId, endpoint, call, observer, this.options.scheduler, {
       send: (frame) => this.connection?.send(frame) === true,
-      over: () => this.streamIsOver(streamId),
+      ended: () => this.handleStreamEnd(streamId),
     });
     this.streams.set(streamId, attempt);
     if (this.connection !== undefined) {
@@ -148,22 +145,22 @@
     return attempt;
   }
 
-  /** To be called now and then. */
-  look(): void {
-    this.connection?.look(this.streams.size > 0 || this.isUnheard());
+  /** Must be called periodically. */
+  checkLiveness(): void {
+    this.connection?.checkLiveness(this.streams.size > 0 || this.isUnansweredSinceSend());
     if (this.isSuspect && this.streams.size > 0) {
       this.observer.suspect();
     }
-    this.endWithPeer();
+    this.endDelistedAttempts();
   }
 
   /** Another connection to the peer was opened. */
-  isProvenAlive(): void {
-    this.connection?.isProvenAlive();
+  confirmPeerAlive(): void {
+    this.connection?.confirmPeerAlive();
   }
 
-  /** The peer's machine answers nothing. */
-  peerIsDark(): void {
+  /** The peer's machine does not answer connection attempts. */
+  peerIsUnreachable(): void {
     if (this.isSuspect) {
       [...this.streams.values()].forEach((attempt) => attempt.peerIsGone());
     }
@@ -181,7 +178,7 @@
   }
 
   private reportConnect(isOpen: boolean): void {
-    const connectMs = this.options.scheduler.now() - this.beganAtMs;
+    const connectMs = this.options.scheduler.now() - this.connectStartedAtMs;
     this.options.onConnect?.(this.address, connectMs, isOpen);
   }
 
@@ -200,13 +197,14 @@
     const { scheduler } = this.options;
     const nowMs = scheduler.now();
     const watch = {
-      pulse: new LinkPulse(SENDER_PULSE, nowMs - this.beganAtMs, nowMs),
+      liveness: new ConnectionLiveness(SENDER_LIVENESS, nowMs - this.connectStartedAtMs, nowMs),
       scheduler,
-      onSilence: (step: 'suspect' | 'silent' | 'lost', quietMs: number) =>
-        this.takeSilence(step, quietMs),
+      onLivenessStep: (step: 'suspect' | 'silent' | 'lost', quietMs: number) =>
+        this.handleLivenessStep(step, quietMs),
     };
     const observer = {
-      received: (frames: readonly StreamFrame[]) => frames.forEach((frame) => this.take(frame)),
+      received: (frames: readonly StreamFrame[]) =>
+        frames.forEach((frame) => this.handleFrame(frame)),
       closed: () => this.end('lost'),
     };
     this.connection = new RelayConnection(socket, head, observer, watch);
@@ -215,43 +213,43 @@
   }
 
   private send(attempt: RelayedAttempt): void {
-    this.sentAtMs = this.options.scheduler.now();
+    this.lastSentAtMs = this.options.scheduler.now();
     attempt.send();
   }
 
-  /** A request whose caller left is owed nothing, but no word since then may mean that it was lost. */
-  private isUnheard(): boolean {
-    return this.connection?.hasHeardSince(this.sentAtMs) === false;
+  /** An aborted request awaits no answer, but receiving nothing since it was sent may mean that it was lost. */
+  private isUnansweredSinceSend(): boolean {
+    return this.connection?.hasReceivedSince(this.lastSentAtMs) === false;
   }
 
   /**
-   * A connection that says nothing may only be slow: its attempts are in doubt, and go on. None is answered
-   * any more once it has said nothing for long while a new one works; without a new one the peer's machine
-   * may only stand still.
+   * An unresponsive connection may only be slow, so its attempts become suspect but continue. If it stays
+   * unresponsive until it is lost although a new connection works, it is closed; without a working new connection
+   * the peer's machine may only be paused.
    */
-  private takeSilence(step: 'suspect' | 'silent' | 'lost', quietMs: number): void {
+  private handleLivenessStep(step: 'suspect' | 'silent' | 'lost', quietMs: number): void {
     const attempts = [...this.streams.values()];
     if (step === 'suspect') {
       this.isSuspect = true;
-      this.isSilent = false;
+      this.isUnresponsive = false;
       this.observer.suspect();
     } else if (step === 'silent') {
-      this.isSilent = true;
-      this.options.onSilence?.(this.address, { awaitedCount: attempts.length, quietMs });
-      attempts.forEach((attempt) => attempt.connectionIsSilent(quietMs));
-    } else if (this.isSilent) {
+      this.isUnresponsive = true;
+      this.options.onUnresponsive?.(this.address, { awaitedCount: attempts.length, quietMs });
+      attempts.forEach((attempt) => attempt.connectionUnresponsive(quietMs));
+    } else if (this.isUnresponsive) {
       this.connection?.destroy();
     } else {
       this.peerLostAtMs = this.options.scheduler.now();
     }
   }
 
-  /** Ends attempts at endpoints that went with the peer; one that stands still keeps its entries for longer. */
-  private endWithPeer(): void {
+  /** Ends attempts at endpoints that were delisted with the peer; a paused peer stays listed for longer. */
+  private endDelistedAttempts(): void {
     if (this.peerLostAtMs === undefined) {
       return;
     }
-    if (this.connection?.hasHeardSince(this.peerLostAtMs) === true) {
+    if (this.connection?.hasReceivedSince(this.peerLostAtMs) === true) {
       this.peerLostAtMs = undefined;
       return;
     }
@@ -262,8 +260,8 @@
     }
   }
 
-  /** A suspect connection gets no new attempts: it is of no use once its last one is over. */
-  private streamIsOver(streamId: number): void {
+  /** A suspect connection accepts no new attempts, so it is closed after its last one. */
+  private handleStreamEnd(streamId: number): void {
     this.streams.delete(streamId);
     if (this.isSuspect && this.streams.size === 0) {
       this.connection?.end();
@@ -278,15 +276,15 @@
     }
   }
 
-  private take(frame: StreamFrame): void {
-    this.streams.get(frame.streamId)?.take(frame);
+  private handleFrame(frame: StreamFrame): void {
+    this.streams.get(frame.streamId)?.handleFrame(frame);
   }
 
   private end(cause: 'never-sent' | 'lost'): void {
-    if (this.isOver) {
+    if (this.isClosed) {
       return;
     }
-    this.isOver = true;
+    this.isClosed = true;
     this.observer.retired();
     this.observer.closed();
     for (const attempt of [...this.streams.values()]) {
--- a/src/proxy/route-credential.ts
+++ b/src/proxy/route-credential.ts
@@ -1,8 +1,8 @@
-/** The credential that a route adds to its requests, from a secret. */
+/** The credential that a route adds to its requests, taken from a secret. */
 import type { Snapshot } from '../model/snapshot.js';
 import type { RouteMatch } from '../routing/route-table.js';
 
-/** Adds the route's credential, in place of one that the caller sent. */
+/** Adds the route's credential and removes one that the caller sent. */
 export function withCredential(
   headers: readonly string[],
   match: RouteMatch,
@@ -13,12 +13,12 @@
   if (credential === undefined || secret === undefined) {
     return headers;
   }
-  const others: string[] = [];
+  const otherHeaders: string[] = [];
   for (let index = 0; index + 1 < headers.length; index += 2) {
     const name = headers[index] ?? '';
     if (name.toLowerCase() !== credential.header) {
-      others.push(name, headers[index + 1] ?? '');
+      otherHeaders.push(name, headers[index + 1] ?? '');
     }
   }
-  return [...others, credential.header, secret.spec.value];
+  return [...otherHeaders, credential.header, secret.spec.value];
 }
--- a/test/membership/membership.test.ts
+++ b/test/membership/membership.test.ts
@@ -21,7 +21,7 @@
 const HEARTBEAT: PeerMessage = { type: 'heartbeat', versionsDigest: NOTHING_HELD_DIGEST };
 const FULL_HEARTBEAT: PeerMessage = { type: 'heartbeat', versionsDigest: 'f'.repeat(16) };
 
-/** One control plane whose peers are played by the test. */
+/** One control plane; the test acts as its peers. */
 class Bench {
   nowMs = 0;
   readonly plane: ControlPlane;
@@ -45,12 +45,12 @@
     return this.receive(from, { type: 'members', updates: [{ member, status }] });
   }
 
-  /** The peer becomes an inbound neighbour. */
+  /** Makes the peer an inbound neighbour. */
   join(peer: PeerIdentity, heartbeat = HEARTBEAT): ControlEffect[] {
     return [...this.handle({ type: 'peer-up', peer }), ...this.receive(peer, heartbeat)];
   }
 
-  /** Wakes the plane whenever it asks for it, for a while. */
+  /** Advances the clock by `forMs`, waking the control plane at each requested time. */
   run(forMs: number): ControlEffect[] {
     const until = this.nowMs + forMs;
     const effects: ControlEffect[] = [];
@@ -63,8 +63,8 @@
   }
 }
 
-/** Effects in short: what is sent to whom, and links closed or dialled. */
-function brief(effects: readonly ControlEffect[]): string[] {
+/** Summary of effects: recipients and types of sent messages, and links closed or dialled. */
+function summarize(effects: readonly ControlEffect[]): string[] {
   return effects.flatMap((effect) => {
     switch (effect.type) {
       case 'send':
@@ -79,7 +79,7 @@
   });
 }
 
-/** Claims sent, as `to member status@incarnation`. */
+/** Sent claims, formatted as `to member status@incarnation`. */
 function claims(effects: readonly ControlEffect[]): string[] {
   return effects.flatMap((effect) =>
     effect.type === 'send' && effect.message.type === 'members'
@@ -91,10 +91,10 @@
 }
 
 describe('inbound links', () => {
-  it('become neighbours with the first heartbeat, which is answered', () => {
+  it('become neighbours on the first heartbeat, which is answered', () => {
     const bench = new Bench();
-    expect(brief(bench.handle({ type: 'peer-up', peer: PEER }))).to.deep.equal([]);
-    expect(brief(bench.receive(PEER, HEARTBEAT))).to.deep.equal([
+    expect(summarize(bench.handle({ type: 'peer-up', peer: PEER }))).to.deep.equal([]);
+    expect(summarize(bench.receive(PEER, HEARTBEAT))).to.deep.equal([
       `${PEER.id} heartbeat`,
       `${PEER.id} versions`,
     ]);
@@ -103,16 +103,16 @@
 
   for (const [name, heartbeat, expected] of [
     [
-      'holds nothing: it is told of others',
+      'holds no documents and is sent other peers',
       HEARTBEAT,
       [`${OTHER.id} members`, `hang-up ${OTHER.id}`],
     ],
-    ['knows others', FULL_HEARTBEAT, [`hang-up ${OTHER.id}`]],
+    ['holds documents and is only disconnected', FULL_HEARTBEAT, [`hang-up ${OTHER.id}`]],
   ] as const) {
-    it(`are refused beyond the bound; the peer ${name}`, () => {
+    it(`are refused beyond the maximum; the peer ${name}`, () => {
       const bench = new Bench({ maxInbound: 1 });
       bench.join(PEER);
-      expect(brief(bench.join(OTHER, heartbeat))).to.deep.equal(expected);
+      expect(summarize(bench.join(OTHER, heartbeat))).to.deep.equal(expected);
       expect(bench.plane.status().neighbours).to.deep.equal([PEER]);
     });
   }
@@ -120,21 +120,21 @@
   it('are refused while the node stops', () => {
     const bench = new Bench();
     bench.handle({ type: 'stop' });
-    expect(brief(bench.join(PEER, FULL_HEARTBEAT))).to.deep.equal([`hang-up ${PEER.id}`]);
+    expect(summarize(bench.join(PEER, FULL_HEARTBEAT))).to.deep.equal([`hang-up ${PEER.id}`]);
   });
 
-  it('without a heartbeat are closed when idle, not before', () => {
+  it('without a heartbeat are closed only when idle', () => {
     const bench = new Bench();
     bench.handle({ type: 'peer-up', peer: PEER });
     bench.run(TRANSIENT_IDLE_MS / 2);
     bench.receive(PEER, { type: 'fetch', document: 'source', have: NO_VERSION });
-    expect(brief(bench.run(TRANSIENT_IDLE_MS - 1))).to.deep.equal([]);
-    expect(brief(bench.run(4_000))).to.include(`hang-up ${PEER.id}`);
+    expect(summarize(bench.run(TRANSIENT_IDLE_MS - 1))).to.deep.equal([]);
+    expect(summarize(bench.run(4_000))).to.include(`hang-up ${PEER.id}`);
   });
 });
 
-describe('evidence and claims', () => {
-  it('a lost neighbour is probed; only a failed probe is told to the fleet', () => {
+describe('failure detection and claims', () => {
+  it('a disconnected neighbour is probed; only a failed probe is flooded', () => {
     for (const [answer, expected] of [
       [{ type: 'peer-up', peer: PEER }, []],
       [{ type: 'dial-failed', target: PEER }, [`${OTHER.id} ${PEER.id} suspect@1000`]],
@@ -144,25 +144,25 @@
       bench.join(OTHER);
       bench.run(1_500);
       const lost = bench.handle({ type: 'peer-down', peer: PEER });
-      expect(brief(lost)).to.deep.equal([`dial ${PEER.address}`]);
+      expect(summarize(lost)).to.deep.equal([`dial ${PEER.address}`]);
       expect(bench.plane.memberStatus(PEER.id)).to.equal('suspect');
       bench.handle(answer);
       expect(claims(bench.run(1_500))).to.deep.equal(expected);
     }
   });
 
-  it('a silent neighbour is hung up on and told of', () => {
+  it('an unresponsive neighbour is disconnected and its suspicion is flooded', () => {
     const bench = new Bench();
     bench.join(PEER);
     bench.join(OTHER);
     bench.run(4_000);
     bench.receive(OTHER, HEARTBEAT);
     const effects = bench.run(4_000);
-    expect(brief(effects)).to.include(`hang-up ${PEER.id}`);
+    expect(summarize(effects)).to.include(`hang-up ${PEER.id}`);
     expect(claims(effects)).to.include(`${OTHER.id} ${PEER.id} suspect@1000`);
   });
 
-  it('an accused node refutes at once to the accuser, neighbour or not, then to the fleet', () => {
+  it('an accused node refutes immediately to the accuser, neighbour or not, then to the fleet', () => {
     const bench = new Bench();
     bench.join(OTHER);
     bench.handle({ type: 'peer-up', peer: PEER });
@@ -171,15 +171,15 @@
     expect(claims(bench.run(1_000))).to.include(`${OTHER.id} ${refutation}`);
   });
 
-  it('a peer that is accused here is told when its link opens', () => {
+  it('a suspected peer is sent the claim about it when its link opens', () => {
     const bench = new Bench();
     bench.join(OTHER);
     bench.claim(OTHER, PEER, 'suspect');
-    const told = bench.handle({ type: 'peer-up', peer: PEER });
-    expect(claims(told)).to.deep.equal([`${PEER.id} ${PEER.id} suspect@1000`]);
+    const effects = bench.handle({ type: 'peer-up', peer: PEER });
+    expect(claims(effects)).to.deep.equal([`${PEER.id} ${PEER.id} suspect@1000`]);
   });
 
-  it('a member held dead is dialled now and then, so that it may refute', () => {
+  it('a dead member is dialled periodically, so that it can refute the claim', () => {
     const bench = new Bench({ neighbours: 0 });
     const values = machineValues([PEER, OTHER].map((peer) => machineOf(peer)));
     bench.plane.documents.offer('machines', { outcome: 'document', number: 1, values }, 0);
@@ -190,17 +190,17 @@
       effects.push(...bench.run(2_000), ...bench.receive(OTHER, HEARTBEAT));
     }
     expect(bench.plane.memberStatus(PEER.id)).to.equal('dead');
-    expect(brief(effects)).to.include(`dial ${PEER.address}`);
+    expect(summarize(effects)).to.include(`dial ${PEER.address}`);
   });
 
-  it('a new neighbour is told who is leaving', () => {
+  it('a new neighbour is sent the leaving members', () => {
     const bench = new Bench();
     bench.join(OTHER);
     bench.claim(OTHER, PEER, 'leaving');
     expect(claims(bench.join(THIRD))).to.deep.equal([`${THIRD.id} ${PEER.id} leaving@1000`]);
   });
 
-  it('a claim is passed on once, and not to those it was heard from', () => {
+  it('a claim is propagated once, and not to the neighbours that sent it', () => {
     const bench = new Bench();
     [OTHER, THIRD, identityOf(4)].forEach((peer) => bench.join(peer));
     bench.run(1_500);
@@ -212,12 +212,12 @@
   });
 });
 
-describe('components beside the overlay', () => {
-  class Hanger implements ControlComponent {
-    readonly seen: string[] = [];
+describe('components that share links with the overlay', () => {
+  class HangUpComponent implements ControlComponent {
+    readonly receivedTypes: string[] = [];
 
     handle(event: ControlEvent): ControlEffect[] {
-      this.seen.push(event.type === 'message' ? event.message.type : event.type);
+      this.receivedTypes.push(event.type === 'message' ? event.message.type : event.type);
       return event.type === 'message' ? [{ type: 'hang-up', peerId: event.from.id }] : [];
     }
 
@@ -228,22 +228,22 @@
   const release: PeerMessage = { type: 'lease-release', slot: 'zone-a/0', round: 1 };
 
   for (const [name, joins, expected] of [
-    ['an overlay link stays open', true, []],
+    ['an overlay link is kept open', true, []],
     ['another link is closed', false, [`hang-up ${PEER.id}`]],
   ] as const) {
-    it(`hang up: ${name}`, () => {
-      const hanger = new Hanger();
-      const bench = new Bench({ components: [() => hanger] });
+    it(`request a hang-up: ${name}`, () => {
+      const component = new HangUpComponent();
+      const bench = new Bench({ components: [() => component] });
       bench.handle({ type: 'peer-up', peer: PEER });
       if (joins) {
         bench.receive(PEER, HEARTBEAT);
       }
-      expect(brief(bench.receive(PEER, release))).to.deep.equal(expected);
-      expect(hanger.seen).to.deep.equal(['start', 'peer-up', 'lease-release']);
+      expect(summarize(bench.receive(PEER, release))).to.deep.equal(expected);
+      expect(component.receivedTypes).to.deep.equal(['start', 'peer-up', 'lease-release']);
     });
   }
 
-  it('see the electorate, and find relay addresses by list or by evidence', () => {
+  it('list the machines of a zone, and find relay addresses of listed and connected machines', () => {
     const bench = new Bench();
     const machines = [OTHER, PEER].map((peer) => machineOf(peer));
     const answer = { outcome: 'document', number: 1, values: machineValues(machines) } as const;
--- a/test/proxy/relay/relay-connection.test.ts
+++ b/test/proxy/relay/relay-connection.test.ts
@@ -1,4 +1,4 @@
-/** A relay connection: what goes first, what bodies may take, how lost time is found. */
+/** Tests of frame order, flow control of bodies, and estimation of transit delay. */
 import { PassThrough, Writable } from 'node:stream';
 import { finished } from 'node:stream/promises';
 import { expect } from 'chai';
@@ -7,7 +7,7 @@
   RelayBodyReader,
   RelayBodyWriter,
 } from '../../../src/proxy/relay/relay-body.js';
-import { LinkPulse } from '../../../src/proxy/relay/link-pulse.js';
+import { ConnectionLiveness } from '../../../src/proxy/relay/link-pulse.js';
 import { RelayConnection } from '../../../src/proxy/relay/relay-connection.js';
 import {
   decodeRelayFrame,
@@ -17,13 +17,13 @@
 import { TravelTime } from '../../../src/proxy/relay/travel-time.js';
 import { FrameReader } from '../../../src/wire/frame-reader.js';
 
-const NOBODY = { received: () => undefined, closed: () => undefined };
+const IGNORING_OBSERVER = { received: () => undefined, closed: () => undefined };
 
 function endOfTurn(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
 
-/** The frames in what was written. */
+/** Decodes the frames in the written chunks. */
 function framesIn(chunks: readonly Buffer[]): RelayFrame[] {
   const reader = new FrameReader();
   reader.push(Buffer.concat(chunks));
@@ -35,11 +35,11 @@
 }
 
 describe('a relay connection', () => {
-  it('sends what belongs to one turn in one write, a cancellation before bodies', async () => {
+  it('combines the frames of one event loop iteration into one write, with a cancellation before bodies', async () => {
     const socket = new PassThrough();
     const chunks: Buffer[] = [];
     socket.on('data', (chunk: Buffer) => chunks.push(chunk));
-    const connection = new RelayConnection(socket, Buffer.alloc(0), NOBODY);
+    const connection = new RelayConnection(socket, Buffer.alloc(0), IGNORING_OBSERVER);
     const part = { kind: 'body', streamId: 1, isLast: false, bytes: Buffer.alloc(1_000) } as const;
     connection.send(part);
     connection.send(part);
@@ -50,7 +50,7 @@
     expect(framesIn(chunks).map(({ kind }) => kind)).to.deep.equal(['cancel', 'body', 'body']);
   });
 
-  it('reads what came with the opening only once its owner holds the connection', async () => {
+  it('delivers frames received with the upgrade only after construction', async () => {
     const head = encodeRelayFrame({ kind: 'cancel', streamId: 7 });
     const received: RelayFrame[] = [];
     let isConstructed = false;
@@ -67,52 +67,54 @@
   });
 
   /**
-   * On a connection with one request at a time, a question each look cost both nodes more than a third of
-   * the request: endpoints take half a second, and the peer had shown at the first question that it has it.
+   * On a connection with one request at a time, a ping at every check cost both nodes more than a third of the
+   * request: endpoints take half a second, and the first acknowledgement has already shown that the request arrived.
    */
-  it('asks soon whether a request arrived, and seldom once that is known', async () => {
+  it('pings soon after a request is sent, and rarely once its delivery is acknowledged', async () => {
     let nowMs = 1_000;
     const socket = new PassThrough();
-    const asked: number[] = [];
-    const limits = { quietMs: 100, unprovenLossMs: Infinity };
-    const connection = new RelayConnection(socket, Buffer.alloc(0), NOBODY, {
-      pulse: new LinkPulse(limits, 1, nowMs),
+    const pingTimesMs: number[] = [];
+    const limits = { quietMs: 100, unconfirmedLossTimeoutMs: Infinity };
+    const connection = new RelayConnection(socket, Buffer.alloc(0), IGNORING_OBSERVER, {
+      liveness: new ConnectionLiveness(limits, 1, nowMs),
       scheduler: { now: () => nowMs, schedule: () => () => undefined },
-      onSilence: (step) => expect.fail(step),
+      onLivenessStep: (step) => expect.fail(step),
     });
     socket.write = (bytes: Buffer) => {
       for (const frame of framesIn([bytes])) {
         if (frame.kind === 'ping') {
-          asked.push(nowMs);
-          socket.push(encodeRelayFrame({ kind: 'acknowledgement', askedAtMs: frame.askedAtMs }));
+          pingTimesMs.push(nowMs);
+          socket.push(
+            encodeRelayFrame({ kind: 'acknowledgement', pingSentAtMs: frame.pingSentAtMs }),
+          );
         }
       }
       return true;
     };
-    const look = async (timesMs: readonly number[]): Promise<number[]> => {
-      asked.length = 0;
+    const pingTimesFor = async (timesMs: readonly number[]): Promise<number[]> => {
+      pingTimesMs.length = 0;
       for (const atMs of timesMs) {
         nowMs = atMs;
-        connection.look(true);
+        connection.checkLiveness(true);
         await endOfTurn();
         await endOfTurn();
       }
-      return [...asked];
+      return [...pingTimesMs];
     };
     connection.send({ kind: 'cancel', streamId: 1 });
     await endOfTurn();
     const timesMs = Array.from({ length: 8 }, (_, idx) => 1_200 + 200 * idx);
-    expect(await look(timesMs)).to.deep.equal([1_200, 1_600, 2_000, 2_400]);
+    expect(await pingTimesFor(timesMs)).to.deep.equal([1_200, 1_600, 2_000, 2_400]);
     connection.send({ kind: 'cancel', streamId: 2 });
     await endOfTurn();
-    expect(await look([2_800, 3_000, 3_200])).to.deep.equal([2_800, 3_200]);
+    expect(await pingTimesFor([2_800, 3_000, 3_200])).to.deep.equal([2_800, 3_200]);
     nowMs = 3_350;
     connection.send({ kind: 'cancel', streamId: 3 });
     await endOfTurn();
-    expect(await look([3_400, 3_600])).to.deep.equal([3_600]);
+    expect(await pingTimesFor([3_400, 3_600])).to.deep.equal([3_600]);
   });
 
-  it('holds bodies back while the socket is full, and still sends a cancellation at once', async () => {
+  it('queues bodies while the socket is full, but sends a cancellation immediately', async () => {
     const written: Buffer[] = [];
     const stalled = new Writable({
       highWaterMark: 1,
@@ -121,28 +123,28 @@
       },
     });
     const socket = Object.assign(stalled, { resume: () => socket }) as unknown as PassThrough;
-    const connection = new RelayConnection(socket, Buffer.alloc(0), NOBODY);
+    const connection = new RelayConnection(socket, Buffer.alloc(0), IGNORING_OBSERVER);
     for (let part = 0; part < 20; part += 1) {
       connection.send({ kind: 'body', streamId: 1, isLast: false, bytes: Buffer.alloc(16_384) });
     }
     await endOfTurn();
-    const heldBytes = socket.writableLength;
+    const queuedBytes = socket.writableLength;
     connection.send({ kind: 'cancel', streamId: 1 });
     await endOfTurn();
-    expect(heldBytes).to.be.within(64 * 1024, 96 * 1024);
-    expect(socket.writableLength - heldBytes).to.be.within(1, 10);
+    expect(queuedBytes).to.be.within(64 * 1024, 96 * 1024);
+    expect(socket.writableLength - queuedBytes).to.be.within(1, 10);
   });
 
   /**
-   * A node that stops ends its connections with answers of its peers still waiting in them. What did
-   * not fit into the socket at that moment was dropped, and what came later broke the connection off
-   * with all that it held: peers got halves of answers that had been counted as given.
+   * A stopping node ends connections that still have queued answers. Guards against dropping frames that do not fit
+   * into the socket at that moment, and against a later write that destroys the connection with its queue: peers
+   * then receive truncated answers that were counted as delivered.
    */
-  it('sends all that waits before it closes, and is not broken off by what comes later', async () => {
+  it('sends all queued frames before it closes, and ignores later frames', async () => {
     const socket = new PassThrough({ highWaterMark: 1 });
     const chunks: Buffer[] = [];
     socket.on('data', (chunk: Buffer) => chunks.push(chunk));
-    const connection = new RelayConnection(socket, Buffer.alloc(0), NOBODY);
+    const connection = new RelayConnection(socket, Buffer.alloc(0), IGNORING_OBSERVER);
     const bytes = Buffer.alloc(16_384);
     for (let part = 0; part < 20; part += 1) {
       connection.send({ kind: 'body', streamId: 1, isLast: part === 19, bytes });
@@ -156,11 +158,11 @@
   });
 });
 
-describe('a body in parts', () => {
-  it('arrives as it was sent, within its window, however slowly it is read', async () => {
+describe('a body sent in parts', () => {
+  it('arrives unchanged and within its window if it is read slowly', async () => {
     const sent = Buffer.from(Array.from({ length: 300_000 }, (_, idx) => idx % 251));
     let unreadBytes = 0;
-    let mostBytes = 0;
+    let maxUnreadBytes = 0;
     const received: Buffer[] = [];
     const reader = new RelayBodyReader((bytes) => {
       unreadBytes -= bytes;
@@ -168,7 +170,7 @@
     });
     const writer = new RelayBodyWriter((bytes, isLast) => {
       unreadBytes += bytes.length;
-      mostBytes = Math.max(mostBytes, unreadBytes);
+      maxUnreadBytes = Math.max(maxUnreadBytes, unreadBytes);
       const copy = Buffer.from(bytes);
       setImmediate(() => reader.receive(copy, isLast));
     });
@@ -180,12 +182,12 @@
     await finished(writer);
     expect(Buffer.concat(received).equals(sent)).to.equal(true);
     expect(reader.complete).to.equal(true);
-    expect(mostBytes).to.be.at.most(BODY_WINDOW_BYTES);
+    expect(maxUnreadBytes).to.be.at.most(BODY_WINDOW_BYTES);
   });
 });
 
 describe('a body whose sender ignores its window', () => {
-  it('is broken off, so that it takes no more memory than that', () => {
+  it('is aborted, so that its memory use stays within the window', () => {
     const reader = new RelayBodyReader(() => undefined);
     for (let part = 0; part < 100; part += 1) {
       reader.receive(Buffer.alloc(16 * 1024), false);
@@ -195,8 +197,8 @@
   });
 });
 
-describe('the time that a frame lost', () => {
-  it('is what it took beyond the quickest frame, whatever the clocks say', () => {
+describe('TravelTime', () => {
+  it('measures the delay beyond the fastest frame, regardless of the clock offset', () => {
     const travelTime = new TravelTime();
     const lost = [
       [100, 5_105],
@@ -207,7 +209,7 @@
     expect(lost).to.deep.equal([0, 0, 597, 0]);
   });
 
-  it('is found again a while after one of the clocks was held up', () => {
+  it('recovers some time after one of the clocks was suspended', () => {
     const travelTime = new TravelTime();
     travelTime.lostMs(0, 5_000);
     const lost: number[] = [];
--- a/test/proxy/relay/slow-connections.test.ts
+++ b/test/proxy/relay/slow-connections.test.ts
@@ -1,105 +1,105 @@
 /**
- * A connection between two nodes that is only slow looks like one that has gone silent for good: nothing
- * arrives on it, while a new one works at once.
+ * A connection between two nodes that is only slow looks like a permanently unresponsive one: nothing arrives on it
+ * while a new connection works immediately.
  *
- * Nodes ended attempts on that sign and counted on another attempt, and only then looked for one. Where it
- * reached nobody, or none was left, the caller was told 502 long before its deadline, though its endpoint
- * had been at work: the run was cut, 0.40 s and 0.87 s before the callers' nodes gave up. The nodes were
- * about to stop, but nothing of it depends on that.
+ * Guards against ending an attempt in that state before another one has succeeded. If the other attempt cannot
+ * connect, or none is left, the caller receives 502 long before its deadline although its endpoint is running the
+ * request: the run is cancelled, for example 0.40 s and 0.87 s before the callers' nodes gave up. The failure
+ * occurs whether or not the nodes are about to stop.
  */
 import { expect } from 'chai';
 import { call, closedPort, until, type TestNode } from '../rig.js';
 import { SlowMesh, type RequestKind } from './slow-mesh.js';
 
 const DEADLINE_MS = 6_000;
-/** Longer than a connection may say nothing until it is taken for silent. */
+/** Longer than until a connection is considered unresponsive. */
 const STALLED_MS = 900;
-/** Longer than one that is taken for silent was kept. */
+/** Long enough to detect that an unresponsive connection is closed too early. */
 const LONG_STALLED_MS = 1_900;
-/** An endpoint is at work for so long after its connection has stalled. */
+/** Time for which an endpoint keeps working after its connection stalls. */
 const WORK_MS = 150;
 
-describe('an attempt over a connection between nodes that is slow', () => {
-  let world: SlowMesh;
-  let near: TestNode;
+describe('an attempt over a slow connection between nodes', () => {
+  let setup: SlowMesh;
+  let caller: TestNode;
 
   beforeEach(async () => {
-    world = await SlowMesh.start();
+    setup = await SlowMesh.start();
   });
 
-  afterEach(() => world.close());
+  afterEach(() => setup.close());
 
-  async function takeOtherNodeAway(): Promise<void> {
-    world.moveOtherNode(await closedPort());
+  async function makeOtherNodeUnreachable(): Promise<void> {
+    setup.moveOtherNode(await closedPort());
   }
 
   for (const isStopping of [false, true]) {
-    describe(isStopping ? 'to a node that stops' : 'to a node that goes on', () => {
-      /** A request that is at work at the first endpoint when its connection stalls. */
+    describe(isStopping ? 'to a stopping node' : 'to a running node', () => {
+      /** Stalls the connection of a request that is running at the first endpoint. */
       async function begin(kind: RequestKind, stalledMs: number, maxRetries: number) {
-        near = await world.mesh.addNode('n1', { maxRetries, stopTimeoutMs: DEADLINE_MS });
-        world.configure(kind, DEADLINE_MS);
+        caller = await setup.mesh.addNode('n1', { maxRetries, stopTimeoutMs: DEADLINE_MS });
+        setup.configure(kind, DEADLINE_MS);
         const method = kind === 'safe' ? 'GET' : 'POST';
-        const answer = call(near.callerPort, { method });
-        await until(() => world.slow.heads.length === 1);
-        world.link.stall(stalledMs);
-        const stopped = isStopping ? near.proxy.stop() : Promise.resolve();
-        setTimeout(() => world.answerSlow(), WORK_MS);
+        const answer = call(caller.callerPort, { method });
+        await until(() => setup.slow.heads.length === 1);
+        setup.link.stallConnections(stalledMs);
+        const stopped = isStopping ? caller.proxy.stop() : Promise.resolve();
+        setTimeout(() => setup.answerSlow(), WORK_MS);
         return { answer, stopped };
       }
 
-      it('is waited for where no other attempt is left', async () => {
+      it('is awaited if no other attempt is left', async () => {
         const { answer, stopped } = await begin('safe', STALLED_MS, 0);
         expect(await answer).to.include({ status: 200, body: 'slow' });
         await stopped;
-        expect(world.slow.cancelled).to.deep.equal([]);
+        expect(setup.slow.cancelled).to.deep.equal([]);
       });
 
-      it('is waited for when another attempt reaches nobody', async () => {
-        await takeOtherNodeAway();
+      it('is awaited if another attempt cannot connect', async () => {
+        await makeOtherNodeUnreachable();
         const { answer, stopped } = await begin('safe', STALLED_MS, 2);
         expect(await answer).to.include({ status: 200, body: 'slow' });
         await stopped;
-        expect(world.slow.cancelled).to.deep.equal([]);
+        expect(setup.slow.cancelled).to.deep.equal([]);
       });
 
-      it('is waited for by a request that may run only once', async () => {
+      it('is awaited if the request is not repeatable', async () => {
         const { answer, stopped } = await begin('unsafe', LONG_STALLED_MS, 2);
         expect(await answer).to.include({ status: 200, body: 'slow' });
         await stopped;
-        expect(world.slow.cancelled).to.deep.equal([]);
-        expect(world.other.heads).to.deep.equal([]);
+        expect(setup.slow.cancelled).to.deep.equal([]);
+        expect(setup.other.heads).to.deep.equal([]);
       });
 
-      it('brings the answer when it comes before that of another attempt, which is cancelled', async () => {
+      it('provides the answer if it answers before another attempt, which is cancelled', async () => {
         const { answer, stopped } = await begin('safe', STALLED_MS, 2);
-        await until(() => world.other.heads.length === 1);
+        await until(() => setup.other.heads.length === 1);
         expect(await answer).to.include({ status: 200, body: 'slow' });
-        await until(() => world.other.cancelled.length === 1);
+        await until(() => setup.other.cancelled.length === 1);
         await stopped;
       });
 
       it('is cancelled once another attempt is answered', async () => {
         const { answer, stopped } = await begin('safe', LONG_STALLED_MS, 2);
-        world.slowSockets.length = 0;
-        await until(() => world.other.heads.length === 1);
-        world.answerOther();
+        setup.slowSockets.length = 0;
+        await until(() => setup.other.heads.length === 1);
+        setup.answerOther();
         expect(await answer).to.include({ status: 200, body: 'other' });
-        await until(() => world.slow.cancelled.length === 1);
+        await until(() => setup.slow.cancelled.length === 1);
         await stopped;
       });
     });
   }
 
-  it('is waited for when the peer itself seems silent and another attempt reaches nobody', async () => {
-    near = await world.mesh.addNode('n1', { maxRetries: 2 });
-    world.configure('safe', DEADLINE_MS);
-    await takeOtherNodeAway();
-    const answer = call(near.callerPort);
-    await until(() => world.slow.heads.length === 1);
-    near.proxy.machineIsSilent('n2');
-    setTimeout(() => world.answerSlow(), WORK_MS);
+  it('is awaited if the peer itself seems unresponsive and another attempt cannot connect', async () => {
+    caller = await setup.mesh.addNode('n1', { maxRetries: 2 });
+    setup.configure('safe', DEADLINE_MS);
+    await makeOtherNodeUnreachable();
+    const answer = call(caller.callerPort);
+    await until(() => setup.slow.heads.length === 1);
+    caller.proxy.machineUnresponsive('n2');
+    setTimeout(() => setup.answerSlow(), WORK_MS);
     expect(await answer).to.include({ status: 200, body: 'slow' });
-    expect(world.slow.cancelled).to.deep.equal([]);
+    expect(setup.slow.cancelled).to.deep.equal([]);
   });
 });
--- a/test/proxy/relay/slow-mesh.ts
+++ b/test/proxy/relay/slow-mesh.ts
@@ -1,4 +1,4 @@
-/** Two endpoints beside two nodes, the first one over a link that can be slow; the second is further away. */
+/** Two endpoints owned by two nodes: the first is behind a link that can be slow, the second is in another region. */
 import type { Socket } from 'node:net';
 import {
   echoEndpoint,
@@ -9,17 +9,17 @@
   type RawEndpoint,
   type TestNode,
 } from '../rig.js';
-import { SilentLink } from './silent-link.js';
+import { FaultyLink } from './faulty-link.js';
 
-/** Requests that may run more than once, and others. */
+/** Whether a request may run more than once. */
 export type RequestKind = 'safe' | 'unsafe';
 
-/** The mesh; requests wait at their endpoints until they are answered. */
+/** Requests wait at their endpoints until the test answers them. */
 export class SlowMesh {
   /** `slowSockets` and `otherSockets` are the connections of the requests at each endpoint. */
   private constructor(
     readonly mesh: TestMesh,
-    readonly link: SilentLink,
+    readonly link: FaultyLink,
     readonly slow: RawEndpoint,
     readonly slowSockets: Socket[],
     readonly other: RawEndpoint,
@@ -32,9 +32,9 @@
     const otherSockets: Socket[] = [];
     const slow = await startRawEndpoint((socket) => slowSockets.push(socket));
     const other = await startRawEndpoint((socket) => otherSockets.push(socket));
-    const beside = await mesh.addNode('n2');
-    const link = await SilentLink.start(beside.relayPort);
-    mesh.nodes[0] = { ...beside, relayPort: link.port };
+    const slowNode = await mesh.addNode('n2');
+    const link = await FaultyLink.start(slowNode.relayPort);
+    mesh.nodes[0] = { ...slowNode, relayPort: link.port };
     await mesh.addNode('n3');
     return new SlowMesh(mesh, link, slow, slowSockets, other, otherSockets);
   }
@@ -47,7 +47,7 @@
     ]);
   }
 
-  /** Callers reach the relay port of the node beside the second endpoint there from now on. */
+  /** Changes the port at which other nodes reach the relay port of the second endpoint's node. */
   moveOtherNode(relayPort: number): void {
     this.mesh.nodes[1] = { ...this.otherNode, relayPort };
   }
--- a/tools/experiment/emulated-node.ts
+++ b/tools/experiment/emulated-node.ts
@@ -150,7 +150,7 @@
   private lookLater(gateway: EndpointGateway): void {
     this.process.schedule(LOOK_INTERVAL_MS, () => {
       this.watch.look(this.services.awaited, this.process.now());
-      gateway.upkeep();
+      gateway.reconcile();
       this.lookLater(gateway);
     });
   }
@@ -180,7 +180,7 @@
         status: (machine) => (this.watch.isSilent(machine) ? 'leaving' : 'unknown'),
         relayAddress: () => ({ address: HOST, port: PORT }),
         count: () => fleet.nodeCount,
-        heard: (machine) => this.hear(machine),
+        recordResponse: (machine) => this.hear(machine),
       },
       counters: { add: () => undefined },
       random,
