--- a/test/replication/write-oracle.ts
+++ b/test/replication/write-oracle.ts
@@ -1,16 +1,19 @@
 /**
- * Oracle of operators' writes: from every revision that any replica called committed, and from what
- * writers were told, it decides whether the history is one line of whole writes.
+ * Oracle of operators' writes. From every revision that a replica reported as committed, and from
+ * the outcomes that writers received, it checks that the history is a linear sequence of atomic
+ * writes.
  */
 import { VersionedDocument } from '../../src/model/document.js';
 import { compareVersions } from '../../src/model/version.js';
 import type { OperatorWrite, WriteOutcome } from '../../src/replication/operator-write.js';
 import { VOTERS_KEY } from '../../src/replication/voter-configuration.js';
 
-/** Resource that every deleting write also puts, to make the write known by its value. */
+/**
+ * Resource that every deleting write also puts, so that the write can be identified by its value.
+ */
 export const MARKER_KEY = 'service/marker';
 
-/** A breach of what the replication promises. */
+/** A violation of the guarantees of the replication. */
 export class OracleViolation extends Error {
   override readonly name = 'OracleViolation';
 }
@@ -20,28 +23,28 @@
   readonly outcomes: WriteOutcome[];
   /** Revisions in which the write took effect. */
   readonly revisions: number[];
-  /** A writer that died was told nothing: the same as `unknown`. */
-  readonly writerLives: () => boolean;
+  /** A writer that has died receives no outcome, which is treated as `unknown`. */
+  readonly isWriterAlive: () => boolean;
 }
 
-/** JSON of a service that only write `value` puts. */
+/** JSON of a service that is put only by the write with this value. */
 export function serviceJson(key: string, value: number): string {
   const name = key.slice('service/'.length);
   return JSON.stringify({ kind: 'service', name, spec: { requestTimeoutMs: value } });
 }
 
-/** See the module's comment. */
+/** Records revisions and outcomes, and checks them. */
 export class WriteOracle {
   readonly documents = new Map<number, VersionedDocument>();
   newest = VersionedDocument.empty();
   private readonly writes = new Map<number, SubmittedWrite>();
 
-  /** A replica says that `document` is committed: under one revision there is one content. */
+  /** Records a committed document. A revision must have the same content at every replica. */
   onCommitted(document: VersionedDocument): void {
     const { number } = document.version;
     const known = this.documents.get(number);
     if (known !== undefined && compareVersions(known.version, document.version) !== 0) {
-      throw new OracleViolation(`two contents under revision ${number}`);
+      throw new OracleViolation(`two different documents at revision ${number}`);
     }
     this.documents.set(number, known ?? document);
     if (number > this.newest.version.number) {
@@ -49,30 +52,35 @@
     }
   }
 
-  /** Notes a write that puts `value`, and gives the listener for its outcome. */
+  /** Records a write that puts `value`, and returns the listener for its outcome. */
   submit(
     value: number,
     write: OperatorWrite,
-    writerLives: () => boolean,
+    isWriterAlive: () => boolean,
   ): (outcome: WriteOutcome) => void {
-    const submitted: SubmittedWrite = { write, outcomes: [], revisions: [], writerLives };
+    const submitted: SubmittedWrite = {
+      write,
+      outcomes: [],
+      revisions: [],
+      isWriterAlive,
+    };
     this.writes.set(value, submitted);
     return (outcome) => submitted.outcomes.push(outcome);
   }
 
-  /** Outcomes told so far. */
+  /** Outcomes reported so far. */
   outcomes(): WriteOutcome[] {
     return [...this.writes.values()].flatMap(({ outcomes }) => outcomes);
   }
 
-  /** Checks the whole history; throws {@link OracleViolation}. */
+  /** Checks the history; throws {@link OracleViolation}. */
   check(): void {
     let previous = VersionedDocument.empty();
     const documents = [...this.documents.values()].sort((left, right) =>
       compareVersions(left.version, right.version),
     );
     for (const document of documents) {
-      this.checkStep(previous, document);
+      this.checkRevision(previous, document);
       previous = document;
     }
     for (const [value, submitted] of this.writes) {
@@ -80,11 +88,11 @@
     }
   }
 
-  private checkStep(before: VersionedDocument, after: VersionedDocument): void {
+  private checkRevision(before: VersionedDocument, after: VersionedDocument): void {
     const { number } = after.version;
     const isFormation = number % 1_000_000 === 0 && number > 0;
     if (number !== before.version.number + 1 && !isFormation) {
-      throw new OracleViolation(`no revision between ${before.version.number} and ${number}`);
+      throw new OracleViolation(`gap between revisions ${before.version.number} and ${number}`);
     }
     const values = [...after.entries.values()]
       .filter((entry) => entry.changedAt === number && entry.key !== VOTERS_KEY)
@@ -92,7 +100,7 @@
     const [value] = values;
     const submitted = value === undefined ? undefined : this.writes.get(value);
     if (new Set(values).size > 1 || (value !== undefined && submitted === undefined)) {
-      throw new OracleViolation(`revision ${number} is not one submitted write`);
+      throw new OracleViolation(`revision ${number} does not match exactly one submitted write`);
     }
     if (submitted !== undefined) {
       submitted.revisions.push(number);
@@ -111,18 +119,23 @@
     const held = versionIn(before, key);
     const expected = precondition?.type === 'version' ? precondition.version : undefined;
     if (precondition !== undefined && held !== expected) {
-      throw new OracleViolation(`revision ${number}: ${key} was at ${held}, not ${expected}`);
+      throw new OracleViolation(
+        `revision ${number}: ${key} had version ${held}, expected ${expected}`,
+      );
     }
   }
 }
 
-/** Version of a resource in these tests: the value that put it there. */
+/** Version of a resource in these tests: the value of the write that put it. */
 export function versionIn(document: VersionedDocument, key: string): string | undefined {
   const entry = document.entries.get(key);
   return entry === undefined ? undefined : String(valueOf(entry.json));
 }
 
-/** The revision is the one before with exactly this write, apart from the voters. */
+/**
+ * Checks that the revision differs from the previous one by exactly this write, ignoring the
+ * voters.
+ */
 function checkContent(
   write: OperatorWrite | undefined,
   before: VersionedDocument,
@@ -141,7 +154,7 @@
     actual.size === expected.size &&
     [...actual].every(([key, value]) => expected.get(key) === value);
   if (!isEqual) {
-    throw new OracleViolation(`revision ${after.version.number} undoes or adds something`);
+    throw new OracleViolation(`revision ${after.version.number} reverts or adds changes`);
   }
 }
 
@@ -151,22 +164,24 @@
 }
 
 function checkOutcome(value: number, submitted: SubmittedWrite): void {
-  const { revisions, writerLives } = submitted;
-  const silence: WriteOutcome[] = writerLives() ? [] : [{ outcome: 'unknown' }];
-  const outcomes = submitted.outcomes.length > 0 ? submitted.outcomes : silence;
+  const { revisions, isWriterAlive } = submitted;
+  const lostOutcome: WriteOutcome[] = isWriterAlive() ? [] : [{ outcome: 'unknown' }];
+  const outcomes = submitted.outcomes.length > 0 ? submitted.outcomes : lostOutcome;
   const [outcome] = outcomes;
   if (outcome === undefined || outcomes.length > 1) {
-    throw new OracleViolation(`write ${value} was told ${outcomes.length} outcomes`);
+    throw new OracleViolation(`write ${value} received ${outcomes.length} outcomes, expected 1`);
   }
   if (revisions.length > 1) {
-    throw new OracleViolation(`write ${value} took effect in ${revisions.join(' and ')}`);
+    throw new OracleViolation(
+      `write ${value} took effect more than once, in ${revisions.join(' and ')}`,
+    );
   }
   if (outcome.outcome === 'accepted' && revisions[0] !== outcome.revision) {
     throw new OracleViolation(
-      `write ${value} accepted in ${outcome.revision}, found in ${revisions.join()}`,
+      `write ${value} was accepted at revision ${outcome.revision}, but found at ${revisions.join()}`,
     );
   }
   if (!['accepted', 'unknown'].includes(outcome.outcome) && revisions.length > 0) {
-    throw new OracleViolation(`write ${value} was told ${outcome.outcome} and took effect`);
+    throw new OracleViolation(`write ${value} has outcome ${outcome.outcome} but took effect`);
   }
 }
--- a/test/replication/write-steps.ts
+++ b/test/replication/write-steps.ts
@@ -1,8 +1,8 @@
-/** Scripts of operators' writes and of failures, and their arbitraries. */
+/** Scripts of operators' writes and failures, and their arbitraries. */
 import fc from 'fast-check';
 
 const KEYS = 3;
-/** One step of a script; numbers choose among what there is when the step is run. */
+/** One step of a script. Node numbers select a machine at the time when the step runs. */
 export type Step =
   | {
       readonly type: 'write';
@@ -13,17 +13,17 @@
     }
   | { readonly type: 'kill' | 'replace'; readonly node: number }
   | { readonly type: 'restart' | 'heal' }
-  /** Kills nodes whatever becomes of the majority; only in directed scripts. */
+  /** Kills nodes even if the majority is lost; only in directed scripts. */
   | { readonly type: 'herd'; readonly nodes: readonly number[] }
   | { readonly type: 'leave'; readonly node: number }
   | { readonly type: 'pause'; readonly node: number; readonly durationMs: number }
   | { readonly type: 'cut'; readonly mask: number; readonly isOneWay: boolean }
-  /** Cuts a node and the next `others` off from the rest. */
+  /** Partitions a node and the next `others` nodes from the remaining ones. */
   | { readonly type: 'isolate'; readonly node: number; readonly others: number }
   | { readonly type: 'faults'; readonly level: number }
   | { readonly type: 'wait'; readonly durationMs: number };
 
-/** Chooses the primary of the latest view, where there is one. */
+/** Selects the primary of the latest view, if there is one. */
 export const PRIMARY = 64;
 
 const node = fc.oneof(fc.constant(PRIMARY), fc.nat(PRIMARY - 1));
@@ -35,7 +35,7 @@
   isDeletion: fc.boolean(),
 });
 
-/** Any step; writes and short waits are the most frequent. */
+/** Any step except `herd`; writes and waits are the most frequent. */
 export const arbitraryStep: fc.Arbitrary<Step> = fc.oneof(
   { weight: 10, arbitrary: write },
   {
@@ -71,7 +71,7 @@
   { weight: 2, arbitrary: fc.record({ type: fc.constant('faults' as const), level: fc.nat(2) }) },
 );
 
-/** A fleet and what happens to it. */
+/** A fleet, and the steps that are run on it. */
 export interface Script {
   readonly seed: number;
   readonly voters: 1 | 3 | 5;
--- a/test/replication/write-validation.test.ts
+++ b/test/replication/write-validation.test.ts
@@ -7,7 +7,7 @@
 import { MAX_WRITE_BYTES, resolveWrite } from '../../src/replication/write-validation.js';
 
 const service = (name: string): object => ({ kind: 'service', name, spec: {} });
-/** A service with all defaults, as the merge gives it. */
+/** A service with all defaults, as the merge returns it. */
 const canonicalService = (name: string): object =>
   resourceSchema.parse({ kind: 'service', name, spec: {} });
 const route = (name: string, to: string): object => ({
@@ -54,31 +54,41 @@
 const valid = 'valid';
 const manySecrets = Array.from({ length: 17 }, (_, index) => put(secret(`s${index}`, 8_192)));
 
-/** What is expected: `valid`, `conflict` with the key, or the path of the first fault. */
+/**
+ * Title, changes and expected result: `valid`, `conflict` with the key, or the first fault's path.
+ */
 const cases: readonly [string, readonly ResourceChange[], string][] = [
   ['a new resource', [put(service('new'))], valid],
   ['a new resource that must be absent', [put(service('new'), absent)], valid],
   ['a new resource that must exist', [put(service('new'), exists)], 'conflict service/new'],
-  ['an operators resource that must be absent', [put(parcels, absent)], 'conflict service/parcels'],
+  ['an operator resource that must be absent', [put(parcels, absent)], 'conflict service/parcels'],
   ['a source resource that must be absent', [put(tiles, absent)], 'conflict service/tiles'],
   ['a source resource that must exist', [put(tiles, exists)], valid],
   ['a source resource at its version', [put(tiles, at(tiles))], valid],
-  ['an operators resource at its version', [put(parcels, at(parcels))], valid],
+  ['an operator resource at its version', [put(parcels, at(parcels))], valid],
   ['a resource at another version', [put(parcels, at(tiles))], 'conflict service/parcels'],
   ['a deletion at another version', [remove('route/parcels', at(tiles))], 'conflict route/parcels'],
-  ['one conflict of two', [put(service('a')), put(parcels, absent)], 'conflict service/parcels'],
+  [
+    'one conflict in two changes',
+    [put(service('a')), put(parcels, absent)],
+    'conflict service/parcels',
+  ],
   ['a route and its service together', [put(route('a', 'b')), put(service('b'))], valid],
-  ['a route to nothing', [put(route('a', 'b'))], 'route/a'],
+  ['a route to a missing service', [put(route('a', 'b'))], 'route/a'],
   ['a service and its route deleted', [remove('service/parcels'), remove('route/parcels')], valid],
   ['a service in use deleted', [remove('service/parcels')], 'route/parcels'],
   ['a source service in use deleted', [remove('service/tiles')], 'service/tiles'],
   ['an unused source service deleted', [remove('service/idle')], valid],
-  ['nothing deleted', [remove('service/none')], 'service/none'],
-  ['the same resource twice', [put(service('a')), remove('service/a')], 'service/a'],
-  ['no change', [], 'changes'],
+  ['deletion of a missing resource', [remove('service/none')], 'service/none'],
+  ['two changes of the same resource', [put(service('a')), remove('service/a')], 'service/a'],
+  ['no changes', [], 'changes'],
   ['a reserved key', [remove('meta/voters')], 'meta/voters'],
-  ['no JSON', [{ key: 'service/a', json: '{' }], 'service/a'],
-  ['another resource than the key says', [{ ...put(service('a')), key: 'service/b' }], 'service/b'],
+  ['malformed JSON', [{ key: 'service/a', json: '{' }], 'service/a'],
+  [
+    'a resource that does not match its key',
+    [{ ...put(service('a')), key: 'service/b' }],
+    'service/b',
+  ],
   [
     'a field out of range',
     [put({ ...service('a'), spec: { requestTimeoutMs: 0 } })],
@@ -107,7 +117,7 @@
     });
   }
 
-  it('deletes a source resource by an entry, and an operators resource by leaving it out', () => {
+  it('deletes a source resource by a null entry, an operator resource by removal', () => {
     const changes = [remove('service/idle'), remove('route/parcels')];
     const result = resolveWrite({ changes }, base);
     expect(result).to.deep.equal({
