--- a/src/replication/replica.ts
+++ b/src/replication/replica.ts
@@ -96,7 +96,7 @@
     return this.runDueWork();
   }
 
-  /** Time of the next wake; Infinity on a node that takes no part and has no writes in progress. */
+  /** Time of the next wake; Infinity on a node that is no participant and has no writes in progress. */
   nextWakeAt(): number {
     const viewDeadlineMs = this.core.mayVote ? this.core.viewDeadlineMs : Infinity;
     const heartbeatAtMs = this.isParticipant() ? this.heartbeatAtMs : Infinity;
--- a/src/replication/view-change.ts
+++ b/src/replication/view-change.ts
@@ -96,7 +96,7 @@
   if (state === undefined || logs.length < majorityOf(state.configuration)) {
     return;
   }
-  if (lacksCommitted(core)) {
+  if (requestMissingState(core)) {
     return;
   }
   const latest = logs.reduce((left, right) => (isLaterLog(right, left) ? right : left));
@@ -108,7 +108,7 @@
 }
 
 /** Whether another log has more committed operations; if so, requests the sender's state. */
-function lacksCommitted(core: ReplicaCore): boolean {
+function requestMissingState(core: ReplicaCore): boolean {
   for (const [id, log] of core.collectedLogs) {
     const link = core.links.get(id);
     if (log.commitNumber > core.commitNumber) {
--- a/test/claims/claim-component.test.ts
+++ b/test/claims/claim-component.test.ts
@@ -181,7 +181,7 @@
   }
 
   it('counts a late majority if rounds do not time out (injected fault)', () => {
-    const restore = CLAIM_TIMING_MUTANTS['a majority that comes late counts']();
+    const restore = CLAIM_TIMING_MUTANTS['a late majority is counted']();
     try {
       expect(outcomeOf(LATE_MAJORITY)).to.equal('won');
     } finally {
@@ -193,7 +193,7 @@
 describe('claim holder', () => {
   it('waits for rounds that may count its former grants before it requests claims', () => {
     expect(firstSyncAt()).to.equal(SYNC_DELAY_MS);
-    const restore = CLAIM_TIMING_MUTANTS['a new holder asks the others at once']();
+    const restore = CLAIM_TIMING_MUTANTS['a new holder requests claims without the delay']();
     try {
       expect(firstSyncAt()).to.equal(0);
     } finally {
@@ -242,7 +242,11 @@
 
 const FAULTS: readonly FaultCase[] = [
   { name: 'no fault', injectFault: () => undefined, expected: 'taken' },
-  { name: 'its node dies', injectFault: (simulation) => simulation.kill(6), expected: 'taken' },
+  {
+    name: 'its node is killed',
+    injectFault: (simulation) => simulation.kill(6),
+    expected: 'taken',
+  },
   {
     name: 'a minority of holders restarts',
     injectFault: (simulation) => [0, 1].forEach((index) => simulation.restart(index)),
--- a/test/claims/claim-fuzz.test.ts
+++ b/test/claims/claim-fuzz.test.ts
@@ -37,12 +37,12 @@
   cut: (simulation, a, b) =>
     simulation.cut(a % simulation.processes.length, b % simulation.processes.length),
   heal: (simulation) => simulation.heal(),
-  herd: (simulation) =>
+  restartEveryOther: (simulation) =>
     simulation.processes.forEach((_, index) => index % 2 === 0 && simulation.restart(index)),
-  clocks: (simulation, a) => simulation.setClocksForward(a % CLAIM_RETENTION_MS),
+  setClocksForward: (simulation, a) => simulation.setClocksForward(a % CLAIM_RETENTION_MS),
   publish: (simulation, a) =>
     simulation.processes.length < MAX_MACHINES && simulation.publishList(a % 2 === 0),
-  learn: (simulation, a) => simulation.learnList(a % simulation.processes.length),
+  learnList: (simulation, a) => simulation.learnList(a % simulation.processes.length),
   latency: (simulation, a) => (simulation.latencyMs = LATENCIES_MS[a % LATENCIES_MS.length] ?? 10),
 } satisfies Record<string, Action>;
 type ActionName = keyof typeof ACTIONS;
@@ -62,10 +62,10 @@
   resume: 4,
   cut: 4,
   heal: 3,
-  herd: 0.25,
-  clocks: 1,
+  restartEveryOther: 0.25,
+  setClocksForward: 1,
   publish: 4,
-  learn: 8,
+  learnList: 8,
   latency: 6,
 };
 
--- a/test/claims/claim-mutants.ts
+++ b/test/claims/claim-mutants.ts
@@ -34,7 +34,7 @@
     replace(ClaimHolder.prototype, 'canGrant', function (this: ClaimHolder) {
       return internalsOf(this).isMember;
     }),
-  'what one holder knows is enough for a new one': () => {
+  'a new holder synchronizes with only one holder': () => {
     const { takeSync } = ClaimHolder.prototype;
     return replace(ClaimHolder.prototype, 'takeSync', function (this: ClaimHolder, ...args) {
       takeSync.call(this, args[0], args[1], 1, args[3]);
@@ -68,7 +68,7 @@
  * so directed tests cover them instead.
  */
 export const CLAIM_TIMING_MUTANTS = {
-  'a new holder asks the others at once': () => {
+  'a new holder requests claims without the delay': () => {
     const { setMember } = ClaimHolder.prototype;
     return replace(
       ClaimHolder.prototype,
@@ -82,7 +82,7 @@
       },
     );
   },
-  'a majority that comes late counts': () => {
+  'a late majority is counted': () => {
     const component = ClaimComponent.prototype as unknown as Record<string, () => unknown>;
     return replace(component, 'endRounds', () => undefined);
   },
