--- a/src/claims/claim-component.ts
+++ b/src/claims/claim-component.ts
@@ -39,7 +39,7 @@
   readonly groups?: number;
   /** Maximum number of stored claims; default `MAX_CLAIMS`. */
   readonly maxClaims?: number;
-  /** Clock that does not advance with the wall clock; see `SourceReaderOptions.steadyNow`. */
+  /** Clock that steps of the wall clock do not affect; see `SourceReaderOptions.steadyNow`. */
   readonly steadyNow?: (() => number) | undefined;
 }
 
--- a/src/claims/claim-holder.ts
+++ b/src/claims/claim-holder.ts
@@ -123,7 +123,7 @@
     }
   }
 
-  /** Whether this node is a holder that has all unexpired claims. */
+  /** Whether this node is a holder that is no longer new. */
   canGrant(): boolean {
     return this.isMember && this.memory !== 'new';
   }
