--- a/src/peers/told-delta.ts
+++ b/src/peers/delta-codec.ts
@@ -1,20 +1,20 @@
 /**
- * Deltas as one node tells them to another: JSON, deflated where it is long. A configuration that grows by
- * 960 routes is told in 20 KB in place of 167 KB, so that a node on 7 Mbit/s has told eight followers in
- * 0.18 s in place of 1.5 s (sizes of such a delta, divided by the rate).
+ * Encoding of deltas between nodes: JSON, deflated if it is long. A configuration that grows by 960 routes
+ * is sent as 20 KB instead of 167 KB, so that a node on a 7 Mbit/s link sends it to eight followers in
+ * 0.18 s instead of 1.5 s (size of such a delta, divided by the rate).
  */
 import { constants, deflateSync, inflateSync } from 'node:zlib';
 import type { StoreReplica } from '../store/store-replica.js';
 import { feedDeltaSince, type FeedDelta } from './feed-delta.js';
 
-/** Longest delta, in characters of its JSON text: beyond any whole state. */
+/** Maximum length of a delta, in characters of its JSON text; larger than any full state. */
 export const MAX_DELTA_LENGTH = 16 * 1024 * 1024;
-/** Length from which a delta is deflated, in characters of its JSON text. */
+/** Minimum length of a delta that is deflated, in characters of its JSON text. */
 const MIN_DEFLATED_LENGTH = 1_024;
-/** A higher level gains 3% of the bytes. */
+/** A higher level saves only 3% of the bytes. */
 const DEFLATE_OPTIONS = { level: constants.Z_BEST_SPEED };
-/** Texts that are kept: followers mostly hold one of the last few revisions. */
-const MAX_KEPT_TEXTS = 8;
+/** Maximum number of cached texts. Most followers hold one of the last few revisions. */
+const MAX_CACHED_TEXTS = 8;
 
 /** A delta whose JSON text is deflated. */
 interface DeflatedDelta {
@@ -22,7 +22,7 @@
   readonly deflated: string;
 }
 
-/** The JSON text by which a delta is told. */
+/** Encodes a delta as JSON text, deflated if it is long. */
 export function encodeDelta(delta: FeedDelta): string {
   const text = JSON.stringify(delta);
   if (text.length < MIN_DEFLATED_LENGTH) {
@@ -32,11 +32,11 @@
   return JSON.stringify({ deflated } satisfies DeflatedDelta);
 }
 
-/** What a parsed delta says, inflated where it is deflated; undefined where that fails. */
-export function inflatedDelta(told: unknown): unknown {
-  const deflated = (told as Partial<DeflatedDelta> | null)?.deflated;
+/** Inflates a parsed delta if it is deflated; undefined if that fails. */
+export function inflateDelta(encoded: unknown): unknown {
+  const deflated = (encoded as Partial<DeflatedDelta> | null)?.deflated;
   if (typeof deflated !== 'string') {
-    return told;
+    return encoded;
   }
   try {
     const bytes = Buffer.from(deflated, 'base64');
@@ -47,16 +47,16 @@
   }
 }
 
-/** The texts of a replica's deltas. Those for its present state are kept: many followers lack the same. */
-export class DeltaTexts {
+/** Caches the encoded deltas of a replica's current state, since many followers miss the same changes. */
+export class DeltaTextCache {
   private readonly texts = new Map<number, string>();
   private updateCount = -1;
 
   constructor(private readonly replica: StoreReplica) {}
 
-  /** What a replica that is complete up to `sinceRevision` lacks. */
+  /** Returns the encoded delta for a replica that is complete up to `sinceRevision`. */
   since(sinceRevision: number): string {
-    this.forgetOld();
+    this.evictOutdated();
     let text = this.texts.get(sinceRevision);
     if (text === undefined) {
       text = encodeDelta(feedDeltaSince(this.replica, sinceRevision));
@@ -65,9 +65,9 @@
     return text;
   }
 
-  private forgetOld(): void {
+  private evictOutdated(): void {
     const { updateCount } = this.replica;
-    if (updateCount !== this.updateCount || this.texts.size >= MAX_KEPT_TEXTS) {
+    if (updateCount !== this.updateCount || this.texts.size >= MAX_CACHED_TEXTS) {
       this.texts.clear();
       this.updateCount = updateCount;
     }
--- a/src/peers/delta-fetch.ts
+++ b/src/peers/delta-fetch.ts
@@ -1,16 +1,16 @@
-/** Fetches from a peer what changed after a revision. */
+/** Fetches the changes after a revision from a peer. */
 import http from 'node:http';
 import { ProgressTimer, type ProgressTimeouts } from '../clock/progress-timer.js';
 import type { FeedDelta } from './feed-delta.js';
 import { decodeDelta, MAX_MESSAGE_LENGTH } from './feed-message.js';
 
-/** How long an answer may take; one that never ends would keep this node from asking anybody else. */
-const FETCH_BOUNDS: ProgressTimeouts = { beginMs: 800, idleMs: 800 };
+/** Timeouts of a response. Without them, a response that never ends would block all further fetches. */
+const FETCH_TIMEOUTS: ProgressTimeouts = { beginMs: 800, idleMs: 800 };
 const OK_STATUS = 200;
-/** Path of the changes since a revision, which follows it. */
+/** Path prefix of the changes since a revision; the revision is appended. */
 export const CHANGES_PATH = '/changes/';
 
-/** The changes after `revision` at a peer; undefined when they can't be had. */
+/** Returns the changes after `revision` at a peer, or undefined if they can't be fetched. */
 export function fetchDelta(
   host: string,
   port: number,
@@ -19,7 +19,7 @@
   return new Promise((resolve) => {
     const path = `${CHANGES_PATH}${revision}`;
     const request = http.get({ host, port, path, agent: false });
-    const timer = new ProgressTimer(FETCH_BOUNDS, () => request.destroy());
+    const timer = new ProgressTimer(FETCH_TIMEOUTS, () => request.destroy());
     request.on('error', () => resolve(undefined));
     request.on('close', () => {
       timer.end();
--- a/src/peers/feed-delta.ts
+++ b/src/peers/feed-delta.ts
@@ -1,13 +1,13 @@
 /**
- * Deltas as feeds tell them. Of a long text that a follower holds in the version before, only what
- * changed is told: a configuration of hundreds of routes would else go whole over each link with every
+ * Deltas as sent over feeds. If a follower holds the previous version of a value, the feed sends only a
+ * patch; otherwise a configuration of hundreds of routes would be sent in full over each link with every
  * change. Pure.
  */
 import type { StoreChange } from '../store/key-value-store.js';
 import type { ReplicaDelta, StoreReplica } from '../store/store-replica.js';
 import { applyPatch, createPatch, type TextPatch } from '../store/text-patch.js';
 
-/** A change of a long text. */
+/** A change of a value, as a patch of an earlier version. */
 export interface PatchedChange {
   readonly key: string;
   readonly revision: number;
@@ -16,17 +16,17 @@
   readonly patch: TextPatch;
 }
 
-/** A change as it is told. */
+/** A change as sent over a feed. */
 export type FeedChange = StoreChange | PatchedChange;
 
-/** A delta as it is told. */
+/** A delta as sent over a feed. */
 export interface FeedDelta {
   readonly sinceRevision: number;
   readonly revision: number;
   readonly changes: readonly FeedChange[];
 }
 
-/** What a follower that is complete up to `sinceRevision` lacks. */
+/** Returns the changes that a follower complete up to `sinceRevision` is missing. */
 export function feedDeltaSince(replica: StoreReplica, sinceRevision: number): FeedDelta {
   const delta = replica.deltaSince(sinceRevision);
   if (delta.sinceRevision === 0) {
@@ -34,18 +34,18 @@
   }
   return {
     ...delta,
-    changes: delta.changes.map((change) => patched(replica, change, sinceRevision)),
+    changes: delta.changes.map((change) => patchChange(replica, change, sinceRevision)),
   };
 }
 
-/** The delta in full; undefined when a patch does not fit what the replica holds. */
+/** Applies the patches of a delta; undefined if one does not apply to the replica's current version. */
 export function resolveFeedDelta(
   replica: StoreReplica,
   { sinceRevision, revision, changes }: FeedDelta,
 ): ReplicaDelta | undefined {
   const resolved: StoreChange[] = [];
   for (const change of changes) {
-    const full = 'patch' in change ? resolve(replica, change) : change;
+    const full = 'patch' in change ? resolvePatch(replica, change) : change;
     if (full === undefined) {
       return undefined;
     }
@@ -54,26 +54,30 @@
   return { sinceRevision, revision, changes: resolved };
 }
 
-function patched(replica: StoreReplica, change: StoreChange, sinceRevision: number): FeedChange {
-  const before = replica.versionBefore(change.key);
-  const isHeld = before !== undefined && before.revision <= sinceRevision;
-  if (!isHeld || before.value === undefined || change.value === undefined) {
+function patchChange(
+  replica: StoreReplica,
+  change: StoreChange,
+  sinceRevision: number,
+): FeedChange {
+  const previous = replica.versionBefore(change.key);
+  const holdsBase = previous !== undefined && previous.revision <= sinceRevision;
+  if (!holdsBase || previous.value === undefined || change.value === undefined) {
     return change;
   }
   const { key, revision } = change;
-  const patch = createPatch(before.value, change.value);
-  return { key, revision, baseRevision: before.revision, patch };
+  const patch = createPatch(previous.value, change.value);
+  return { key, revision, baseRevision: previous.revision, patch };
 }
 
-function resolve(replica: StoreReplica, change: PatchedChange): StoreChange | undefined {
+function resolvePatch(replica: StoreReplica, change: PatchedChange): StoreChange | undefined {
   const { key, revision, baseRevision, patch } = change;
-  const held = replica.changeOf(key);
-  if (held !== undefined && held.revision >= revision) {
-    return held;
+  const current = replica.changeOf(key);
+  if (current !== undefined && current.revision >= revision) {
+    return current;
   }
-  if (held?.revision !== baseRevision || held.value === undefined) {
+  if (current?.revision !== baseRevision || current.value === undefined) {
     return undefined;
   }
-  const value = applyPatch(held.value, patch);
+  const value = applyPatch(current.value, patch);
   return value === undefined ? undefined : { key, revision, value };
 }
--- a/src/peers/feed-message.ts
+++ b/src/peers/feed-message.ts
@@ -1,56 +1,60 @@
 /**
- * What a node's feed tells its followers, one JSON text a line: how up to date the node's state is,
- * and what changed in it.
+ * Messages of a node's feed, one line of JSON each. A message contains the freshness of the node's state
+ * and the changes that the follower is missing.
  */
 import type { StoreChange } from '../store/key-value-store.js';
 import { MAX_TEXT_LENGTH, type PatchPart } from '../store/text-patch.js';
 import type { FeedDelta, PatchedChange } from './feed-delta.js';
 import { MAX_AGE_MS } from './peer-datagram.js';
 import type { Freshness } from './source-choice.js';
-import { inflatedDelta, MAX_DELTA_LENGTH } from './told-delta.js';
+import { inflateDelta, MAX_DELTA_LENGTH } from './delta-codec.js';
 
-/** Longest line or text of a delta, in characters. */
+/** Maximum length of a feed line or an encoded delta, in characters. */
 export const MAX_MESSAGE_LENGTH = MAX_DELTA_LENGTH;
-/** Longest key of an item, in characters; a store bounds the bytes. */
+/** Maximum length of an item's key, in characters; the store limits the bytes. */
 const MAX_KEY_LENGTH = 200;
-/** Longest address of a reader, in characters. */
+/** Maximum length of a reader's address, in characters. */
 const MAX_READER_LENGTH = 128;
 
 /** One line of a feed. */
 export interface FeedMessage extends Freshness {
-  /** What the follower lacks; left out where it lacks nothing. */
+  /** Changes that the follower is missing; omitted if there are none. */
   readonly delta?: FeedDelta | undefined;
 }
 
-/** A line, with its end; `deltaText` is the delta as it is told, left out where the follower lacks nothing. */
+/** Encodes a line including its newline. `deltaText` is the encoded delta, omitted if there are no changes. */
 export function encodeFeedMessage(freshness: Freshness, deltaText?: string): string {
   const ageMs = Math.round(Math.min(freshness.ageMs, MAX_AGE_MS));
   const text = JSON.stringify({ ...freshness, ageMs });
   return deltaText === undefined ? `${text}\n` : `${text.slice(0, -1)},"delta":${deltaText}}\n`;
 }
 
-/** Reads a line without its end; undefined when it is none. */
+/** Decodes a line without its newline; undefined if it is malformed. */
 export function decodeFeedMessage(line: string): FeedMessage | undefined {
   const message = parseJson(line);
   if (!isObject(message)) {
     return undefined;
   }
-  const { ageMs, reader, confirmation, delta: told } = message as Partial<FeedMessage>;
-  if (!isAge(ageMs) || !isText(reader, MAX_READER_LENGTH) || !isWhole(confirmation)) {
+  const { ageMs, reader, confirmation, delta: encodedDelta } = message as Partial<FeedMessage>;
+  if (
+    !isAge(ageMs) ||
+    !isNonEmptyText(reader, MAX_READER_LENGTH) ||
+    !isNonNegativeInteger(confirmation)
+  ) {
     return undefined;
   }
-  const delta = readDelta(told);
-  const isWithout = told === undefined;
-  return isWithout || delta !== undefined ? { ageMs, reader, confirmation, delta } : undefined;
+  const delta = parseDelta(encodedDelta);
+  const hasNoDelta = encodedDelta === undefined;
+  return hasNoDelta || delta !== undefined ? { ageMs, reader, confirmation, delta } : undefined;
 }
 
-/** Reads a delta on its own; undefined when it is none. */
+/** Decodes a delta that is not part of a feed message; undefined if it is malformed. */
 export function decodeDelta(text: string): FeedDelta | undefined {
-  return readDelta(parseJson(text));
+  return parseDelta(parseJson(text));
 }
 
-function readDelta(told: unknown): FeedDelta | undefined {
-  const delta = inflatedDelta(told);
+function parseDelta(encoded: unknown): FeedDelta | undefined {
+  const delta = inflateDelta(encoded);
   return isDelta(delta) ? delta : undefined;
 }
 
@@ -68,34 +72,34 @@
   }
   const { sinceRevision, revision, changes } = value as Partial<FeedDelta>;
   return (
-    isWhole(sinceRevision) &&
-    isWhole(revision) &&
+    isNonNegativeInteger(sinceRevision) &&
+    isNonNegativeInteger(revision) &&
     Array.isArray(changes) &&
-    changes.every((change) => isChange(change) || isPatched(change))
+    changes.every((change) => isStoreChange(change) || isPatchedChange(change))
   );
 }
 
-function isChange(value: unknown): value is StoreChange {
+function isStoreChange(value: unknown): value is StoreChange {
   if (!isObject(value) || 'patch' in value) {
     return false;
   }
   const change = value as Partial<StoreChange>;
   return (
-    isText(change.key, MAX_KEY_LENGTH) &&
-    isWhole(change.revision) &&
-    (change.value === undefined || isItemText(change.value))
+    isNonEmptyText(change.key, MAX_KEY_LENGTH) &&
+    isNonNegativeInteger(change.revision) &&
+    (change.value === undefined || isItemValue(change.value))
   );
 }
 
-function isPatched(value: unknown): value is PatchedChange {
+function isPatchedChange(value: unknown): value is PatchedChange {
   if (!isObject(value)) {
     return false;
   }
   const { key, revision, baseRevision, patch } = value as Partial<PatchedChange>;
   return (
-    isText(key, MAX_KEY_LENGTH) &&
-    isWhole(revision) &&
-    isWhole(baseRevision) &&
+    isNonEmptyText(key, MAX_KEY_LENGTH) &&
+    isNonNegativeInteger(revision) &&
+    isNonNegativeInteger(baseRevision) &&
     baseRevision < revision &&
     Array.isArray(patch) &&
     patch.every(isPatchPart)
@@ -111,19 +115,19 @@
     return false;
   }
   const [start, end] = value as unknown[];
-  return isWhole(start) && isWhole(end) && start <= end;
+  return isNonNegativeInteger(start) && isNonNegativeInteger(end) && start <= end;
 }
 
 function isObject(value: unknown): value is object {
   return typeof value === 'object' && value !== null;
 }
 
-/** Whether it is a text of some length; an item's own text may be empty. */
-function isText(value: unknown, maxLength: number): value is string {
+/** Whether `value` is a non-empty string of at most `maxLength` characters. Only item values may be empty. */
+function isNonEmptyText(value: unknown, maxLength: number): value is string {
   return typeof value === 'string' && value !== '' && value.length <= maxLength;
 }
 
-function isItemText(value: unknown): value is string {
+function isItemValue(value: unknown): value is string {
   return typeof value === 'string' && value.length <= MAX_TEXT_LENGTH;
 }
 
@@ -131,6 +135,6 @@
   return typeof value === 'number' && value >= 0 && value <= MAX_AGE_MS;
 }
 
-function isWhole(value: unknown): value is number {
+function isNonNegativeInteger(value: unknown): value is number {
   return Number.isSafeInteger(value) && Number(value) >= 0;
 }
--- a/src/peers/line-assembler.ts
+++ b/src/peers/line-assembler.ts
@@ -1,28 +1,28 @@
-/** Joins what arrives in pieces to lines, in time that grows with the bytes alone. */
+/** Assembles the chunks of a stream into lines, in time linear in the number of bytes. */
 
-/** The lines of one stream. */
+/** Assembles the lines of one stream. */
 export class LineAssembler {
-  /** Pieces of the line whose end is missing. */
+  /** Pieces of the incomplete line. */
   private pieces: string[] = [];
   private unfinishedBytes = 0;
 
-  /** Bytes that arrived of a line whose end is missing. */
+  /** Bytes received of the incomplete line. */
   get partialBytes(): number {
     return this.unfinishedBytes;
   }
 
-  /** Takes what arrived next; gives the lines that are whole by it, without their ends. */
-  take(text: string): string[] {
+  /** Adds the next chunk; returns the lines that it completes, without their newlines. */
+  push(text: string): string[] {
     const lines = text.split('\n');
-    const rest = lines.pop() ?? '';
+    const remainder = lines.pop() ?? '';
     if (lines.length > 0) {
       lines[0] = this.pieces.join('') + (lines[0] ?? '');
       this.pieces = [];
       this.unfinishedBytes = 0;
     }
-    if (rest !== '') {
-      this.pieces.push(rest);
-      this.unfinishedBytes += Buffer.byteLength(rest);
+    if (remainder !== '') {
+      this.pieces.push(remainder);
+      this.unfinishedBytes += Buffer.byteLength(remainder);
     }
     return lines;
   }
--- a/src/peers/peer-datagram.ts
+++ b/src/peers/peer-datagram.ts
@@ -1,7 +1,7 @@
 /**
- * What nodes say to each other in datagrams: a ping and its acknowledgement, each with the revision
- * up to which the sender's replica is complete and how old that state may be; and what is known of requests
- * under which endpoints ended. Lost datagrams are expected.
+ * Datagrams between nodes. Pings and acknowledgements contain the revision up to which the sender's
+ * replica is complete and the age of that state. Other datagrams contain suspicions: requests during
+ * which endpoints crashed. Lost datagrams are expected.
  */
 import { DecodeStream, EncodeStream, type FieldType } from 'restructure';
 import type { Suspicion } from '../containment/suspicion.js';
@@ -9,33 +9,33 @@
 import { list, oneOf, PlainStruct, varint } from '../wire/field-types.js';
 
 /** A ping or its acknowledgement. */
-export interface SignOfLife {
+export interface LivenessDatagram {
   readonly kind: 'ping' | 'acknowledgement';
   /** Revision of the sender's replica. */
   readonly revision: number;
-  /** Time since a reader of the store confirmed that state, in milliseconds, or {@link MAX_AGE_MS}. */
+  /** Time since a reader of the store confirmed that state, in milliseconds, at most {@link MAX_AGE_MS}. */
   readonly ageMs: number;
-  /** Digest of what the sender knows of requests under which endpoints ended; 0 where it knows nothing. */
+  /** Digest of the sender's suspicions; 0 if it has none. */
   readonly suspicionDigest: number;
 }
 
-/** What the sender knows of some requests under which endpoints ended. */
-export interface SuspicionNews {
+/** Some of the sender's suspicions. */
+export interface SuspicionDatagram {
   readonly kind: 'suspicions';
   readonly suspicions: readonly Suspicion[];
 }
 
-/** One datagram. */
-export type PeerDatagram = SignOfLife | SuspicionNews;
+/** A datagram of any kind. */
+export type PeerDatagram = LivenessDatagram | SuspicionDatagram;
 
-/** Age that stands for all greater ones, in milliseconds: only the first seconds matter. */
+/** Upper limit of the encoded age, in milliseconds. Differences matter only within the first seconds. */
 export const MAX_AGE_MS = 3_600_000;
 
-/** Kinds by their numbers on the wire; positions must never change. */
+/** Kinds in the order of their numbers on the wire; positions must never change. */
 const KINDS = ['ping', 'acknowledgement', 'suspicions'] as const;
 const kindLayout = oneOf<PeerDatagram['kind']>(KINDS);
 
-/** A number at the end, left out where it is 0; peers that do not know it pass it over. */
+/** A trailing number that is omitted if it is 0; peers that do not support the field ignore it. */
 const trailingNumber: FieldType<number> = {
   size: (value) => (value === 0 ? 0 : varint.size(value)),
   encode: (stream, value) => {
@@ -46,21 +46,23 @@
   decode: (stream) => (stream.pos < stream.length ? varint.decode(stream) : 0),
 };
 
-const signOfLife = new PlainStruct<Omit<SignOfLife, 'kind'>>({
+const livenessLayout = new PlainStruct<Omit<LivenessDatagram, 'kind'>>({
   revision: varint,
   ageMs: varint,
   suspicionDigest: trailingNumber,
 });
 
-type Fields<K> = Omit<K extends SuspicionNews['kind'] ? SuspicionNews : SignOfLife, 'kind'>;
+type Fields<K> = Omit<
+  K extends SuspicionDatagram['kind'] ? SuspicionDatagram : LivenessDatagram,
+  'kind'
+>;
 
 const LAYOUTS: { readonly [K in PeerDatagram['kind']]: FieldType<Fields<K>> } = {
-  ping: signOfLife,
-  acknowledgement: signOfLife,
+  ping: livenessLayout,
+  acknowledgement: livenessLayout,
   suspicions: new PlainStruct({ suspicions: list(suspicionLayout) }),
 };
 
-/** The bytes of a datagram. */
 export function encodeDatagram(datagram: PeerDatagram): Buffer {
   const layout = LAYOUTS[datagram.kind] as FieldType<PeerDatagram>;
   const bytes = Buffer.alloc(kindLayout.size(datagram.kind) + layout.size(datagram));
@@ -70,7 +72,7 @@
   return bytes;
 }
 
-/** Reads a datagram; undefined when it is not one. */
+/** Decodes a datagram; undefined if it is malformed. */
 export function decodeDatagram(bytes: Uint8Array): PeerDatagram | undefined {
   try {
     const stream = new DecodeStream(bytes);
--- a/src/peers/peer-exchange.ts
+++ b/src/peers/peer-exchange.ts
@@ -1,4 +1,4 @@
-/** Executes what {@link PeerMonitor} decides: datagrams over UDP, changes over HTTP. */
+/** Executes the effects of {@link PeerMonitor}: sends datagrams over UDP and fetches changes over HTTP. */
 import dgram from 'node:dgram';
 import { MACHINE_CLOCK } from '../clock/machine-clock.js';
 import type { RandomSource } from '../control/control-event.js';
@@ -8,7 +8,7 @@
 import { fetchDelta } from './delta-fetch.js';
 import { resolveFeedDelta } from './feed-delta.js';
 import { decodeDatagram, encodeDatagram, MAX_AGE_MS, type PeerDatagram } from './peer-datagram.js';
-import { SuspicionGossip, type SentNews } from './suspicion-gossip.js';
+import { SuspicionGossip, type OutgoingSuspicions } from './suspicion-gossip.js';
 import {
   PeerMonitor,
   type AwaitedPeer,
@@ -16,38 +16,38 @@
   type ReplicaState,
 } from './peer-monitor.js';
 
-/** What the exchange needs of its node. */
+/** Options of a {@link PeerExchange}. */
 export interface PeerExchangeOptions {
-  /** IP number of this machine; the peers' datagrams come from theirs. */
+  /** IP address of this machine. Each peer sends its datagrams from its own address. */
   readonly address: string;
-  /** Port of the datagrams, the same on every machine. */
+  /** UDP port for datagrams, the same on every machine. */
   readonly datagramPort: number;
   /** Port that serves the changes since a revision, the same on every machine. */
   readonly changesPort: number;
   readonly replica: StoreReplica;
-  /** What is known of requests under which endpoints ended; told to peers, and learnt from them. */
+  /** Suspicions, which are exchanged with the peers. */
   readonly containment: Containment;
   readonly random: RandomSource;
   /** Time since a reader of the store confirmed the replica, in milliseconds. */
   readonly ageMs: () => number;
   readonly awaited: () => Iterable<AwaitedPeer>;
-  /** A datagram told how old the replica of a peer is. */
+  /** Called with the age of a peer's replica when a datagram reports it. */
   readonly onAge: (peer: string, ageMs: number) => void;
-  /** Changes were taken from a peer. */
-  readonly onLearned: (from: string) => void;
-  /** Nothing is heard of a peer, or it was heard again. */
-  readonly onSilence: (peer: string, isSilent: boolean) => void;
+  /** Called when a delta fetched from a peer has changed the replica. */
+  readonly onDeltaApplied: (from: string) => void;
+  /** Called when a peer becomes unresponsive or responsive again. */
+  readonly onUnresponsive: (peer: string, isUnresponsive: boolean) => void;
 }
 
-/** The exchange of one node. */
+/** Exchanges datagrams and changes with the peers of one node. */
 export class PeerExchange {
   private readonly monitor: PeerMonitor;
   private readonly gossip: SuspicionGossip;
   private peers: ReadonlySet<string> = new Set();
   private readonly socket = dgram.createSocket('udp4');
   private isFetching = false;
-  /** The next fetch is to bring the whole state: a patch did not fit. */
-  private needsWhole = false;
+  /** Whether the next fetch has to request the full state because a patch did not apply. */
+  private needsFullState = false;
   private isClosed = false;
 
   constructor(private readonly options: PeerExchangeOptions) {
@@ -58,12 +58,12 @@
       digest: () => containment.digest,
       list: () => containment.list(),
     });
-    containment.subscribe(this.tellSuspicions);
+    containment.subscribe(this.gossipSuspicions);
     this.socket.on('error', () => undefined);
     this.socket.on('message', (bytes, { address }) => this.receive(address, bytes));
   }
 
-  /** Begins to speak and listen. */
+  /** Binds the datagram socket. */
   open(): Promise<void> {
     const { address, datagramPort } = this.options;
     return new Promise((resolve, reject) => {
@@ -80,7 +80,7 @@
     this.socket.close();
   }
 
-  /** Takes the addresses of all machines; this one's is left out. */
+  /** Sets the addresses of all machines; this machine's own address is ignored. */
   setMachines(machines: Iterable<string>): void {
     const peers = [...machines].filter((machine) => machine !== this.options.address);
     this.peers = new Set(peers);
@@ -89,24 +89,24 @@
   }
 
   /**
-   * For how long a peer has been known to be ahead, in milliseconds; 0 where none is. What it is ahead by may
-   * have come since the last tick.
+   * How long a peer has been known to be ahead, in milliseconds; 0 if none is. This node may have received
+   * the missing changes since the last tick.
    */
   get behindMs(): number {
     const { behindSinceMs } = this.monitor;
     return behindSinceMs === undefined ? 0 : MACHINE_CLOCK.now() - behindSinceMs;
   }
 
-  isSilent(peer: string): boolean {
-    return this.monitor.isSilent(peer);
+  isUnresponsive(peer: string): boolean {
+    return this.monitor.isUnresponsive(peer);
   }
 
-  /** The peer answered a request. */
-  heard(peer: string): void {
-    this.execute(this.monitor.heard(peer, MACHINE_CLOCK.now()));
+  /** Records that the peer has answered a request. */
+  recordReceived(peer: string): void {
+    this.execute(this.monitor.recordReceived(peer, MACHINE_CLOCK.now()));
   }
 
-  /** To be called several times a second. */
+  /** Must be called several times per second. */
   tick(): void {
     const { awaited } = this.options;
     this.execute(this.monitor.tick(MACHINE_CLOCK.now(), this.ownState(), awaited()));
@@ -115,29 +115,29 @@
   private receive(from: string, bytes: Uint8Array): void {
     const datagram = decodeDatagram(bytes);
     if (datagram?.kind === 'suspicions') {
-      this.takeSuspicions(from, datagram.suspicions);
+      this.receiveSuspicions(from, datagram.suspicions);
     } else if (datagram !== undefined) {
       const nowMs = MACHINE_CLOCK.now();
       this.options.onAge(from, datagram.ageMs);
       this.execute(this.monitor.receive(from, datagram, this.ownState(), nowMs));
-      this.sendNews(this.gossip.heardDigest(from, datagram.suspicionDigest, nowMs));
+      this.sendSuspicions(this.gossip.handleDigest(from, datagram.suspicionDigest, nowMs));
     }
   }
 
-  /** Only machines of the fleet are believed: news from elsewhere could keep any request from being served. */
-  private takeSuspicions(from: string, suspicions: readonly Suspicion[]): void {
+  /** Accepts suspicions from machines of the fleet only; others could use them to block any request. */
+  private receiveSuspicions(from: string, suspicions: readonly Suspicion[]): void {
     if (this.peers.has(from)) {
-      const isNew = this.options.containment.learn(suspicions, this.tellSuspicions);
-      this.sendNews(this.gossip.learned(isNew, from));
+      const learned = this.options.containment.learn(suspicions, this.gossipSuspicions);
+      this.sendSuspicions(this.gossip.propagate(learned, from));
     }
   }
 
-  private readonly tellSuspicions = (changed: readonly Suspicion[]): void => {
-    this.sendNews(this.gossip.learned(changed));
+  private readonly gossipSuspicions = (changed: readonly Suspicion[]): void => {
+    this.sendSuspicions(this.gossip.propagate(changed));
   };
 
-  private sendNews(news: readonly SentNews[]): void {
-    news.forEach(({ to, suspicions }) => this.send(to, { kind: 'suspicions', suspicions }));
+  private sendSuspicions(outgoing: readonly OutgoingSuspicions[]): void {
+    outgoing.forEach(({ to, suspicions }) => this.send(to, { kind: 'suspicions', suspicions }));
   }
 
   private ownState(): ReplicaState {
@@ -159,16 +159,16 @@
           void this.fetch(effect.from);
           break;
         case 'silent':
-          this.options.onSilence(effect.peer, true);
+          this.options.onUnresponsive(effect.peer, true);
           break;
         case 'heard-again':
-          this.options.onSilence(effect.peer, false);
+          this.options.onUnresponsive(effect.peer, false);
           break;
       }
     }
   }
 
-  /** The end of an endpoint may be judged after the close: a send then would end the process. */
+  /** An endpoint's end may be evaluated after the socket was closed; sending then would crash the process. */
   private send(to: string, datagram: PeerDatagram): void {
     if (this.isClosed) {
       return;
@@ -181,15 +181,19 @@
       return;
     }
     this.isFetching = true;
-    const { replica, changesPort, onLearned } = this.options;
-    const told = await fetchDelta(from, changesPort, this.needsWhole ? 0 : replica.revision);
+    const { replica, changesPort, onDeltaApplied: onLearned } = this.options;
+    const feedDelta = await fetchDelta(
+      from,
+      changesPort,
+      this.needsFullState ? 0 : replica.revision,
+    );
     this.isFetching = false;
-    if (told === undefined) {
+    if (feedDelta === undefined) {
       this.monitor.fetchFailed(from);
       return;
     }
-    const delta = resolveFeedDelta(replica, told);
-    this.needsWhole = delta === undefined;
+    const delta = resolveFeedDelta(replica, feedDelta);
+    this.needsFullState = delta === undefined;
     if (delta !== undefined && replica.takeDelta(delta)) {
       onLearned(from);
     }
--- a/src/peers/peer-monitor.ts
+++ b/src/peers/peer-monitor.ts
@@ -1,52 +1,52 @@
 /**
- * Watches over a node's peers. Peers are told of each other's replicas, so that a node that the store
- * fails learns from them; and a peer from which answers are awaited, but nothing is heard, is asked
- * for a sign of life, so that a silent one is known long before its connections time out. Pure.
+ * Monitors a node's peers. Nodes exchange the revisions of their replicas, so that a node that can't read
+ * the store fetches changes from its peers. A peer that owes an answer but sends nothing is pinged, so that
+ * an unresponsive peer is detected long before its connections time out. Pure.
  */
 import type { RandomSource } from '../control/control-event.js';
-import type { SignOfLife } from './peer-datagram.js';
+import type { LivenessDatagram } from './peer-datagram.js';
 
-/** Time between two pings to peers chosen at random, in milliseconds. */
+/** Interval between pings to random peers, in milliseconds. */
 const GOSSIP_INTERVAL_MS = 700;
-/** Silence of a peer that owes an answer after which it is pinged, in milliseconds. */
-const AWAITED_SILENCE_MS = 400;
-/** Time between two pings to such a peer, in milliseconds. */
+/** Idle time after which a peer that owes an answer is pinged, in milliseconds. */
+const PING_AFTER_IDLE_MS = 400;
+/** Interval between pings to an idle peer that owes an answer, in milliseconds. */
 const PING_INTERVAL_MS = 150;
-/** Pings in a row without a sign of life after which a peer is taken for silent. */
-const PINGS_TO_SILENCE = 3;
-/** Time between two pings to a silent peer, in milliseconds. */
-const SILENT_PING_INTERVAL_MS = 400;
+/** Consecutive unanswered pings after which a peer is considered unresponsive. */
+const MAX_UNANSWERED_PINGS = 3;
+/** Interval between pings to an unresponsive peer, in milliseconds. */
+const UNRESPONSIVE_PING_INTERVAL_MS = 400;
 /** Time for which a peer must be ahead before its changes are fetched, in milliseconds. */
-const AHEAD_PERIOD_MS = 500;
-/** Time between two fetches, in milliseconds. */
+const FETCH_DELAY_MS = 500;
+/** Minimum time between two fetches, in milliseconds. */
 const FETCH_INTERVAL_MS = 500;
 
-/** Something to be done. */
+/** An action for the caller to execute. */
 export type PeerEffect =
-  | { readonly type: 'send'; readonly to: string; readonly datagram: SignOfLife }
-  /** Fetch what the peer's replica has and this node's lacks. */
+  | { readonly type: 'send'; readonly to: string; readonly datagram: LivenessDatagram }
+  /** Fetch the changes that this node's replica is missing. */
   | { readonly type: 'fetch'; readonly from: string }
-  /** Nothing is heard of the peer. */
+  /** The peer has become unresponsive. */
   | { readonly type: 'silent'; readonly peer: string }
-  /** A silent peer was heard again. */
+  /** An unresponsive peer has become responsive again. */
   | { readonly type: 'heard-again'; readonly peer: string };
 
-/** What a node tells of its replica. */
-export type ReplicaState = Pick<SignOfLife, 'revision' | 'ageMs' | 'suspicionDigest'>;
+/** State that a node sends in its pings and acknowledgements. */
+export type ReplicaState = Pick<LivenessDatagram, 'revision' | 'ageMs' | 'suspicionDigest'>;
 
 /** A peer that owes this node an answer. */
 export interface AwaitedPeer {
   readonly peer: string;
-  /** Since when the oldest answer is owed, in milliseconds. */
+  /** When the wait for the oldest pending answer began, in milliseconds. */
   readonly sinceMs: number;
 }
 
 interface PeerState {
-  heardAtMs: number;
-  pingedAtMs: number;
-  /** Pings since the last sign of life. */
+  lastReceivedAtMs: number;
+  lastPingAtMs: number;
+  /** Pings sent since the last message from the peer. */
   unansweredPings: number;
-  isSilent: boolean;
+  isUnresponsive: boolean;
 }
 
 /** A peer whose replica is ahead. */
@@ -54,15 +54,15 @@
   readonly peer: string;
   readonly revision: number;
   readonly sinceMs: number;
-  /** Its changes could not be had: the next peer that is as far takes its place. */
+  /** Whether a fetch from it has failed; the next peer at the same revision then replaces it. */
   readonly hasFailed: boolean;
 }
 
-/** The peers of one node. */
+/** Tracks the peers of one node. */
 export class PeerMonitor {
   private readonly states = new Map<string, PeerState>();
-  /** Those of the silent peers, so that a tick does not look at all peers. */
-  private readonly silent = new Map<string, PeerState>();
+  /** States of the unresponsive peers, so that a tick does not iterate over all peers. */
+  private readonly unresponsive = new Map<string, PeerState>();
   private peers: readonly string[] = [];
   private ahead: PeerAhead | undefined;
   private nextGossipAtMs = 0;
@@ -70,91 +70,100 @@
 
   constructor(private readonly random: RandomSource) {}
 
-  /** Takes the addresses of all other machines. */
+  /** Sets the addresses of all other machines. */
   setPeers(peers: readonly string[]): void {
     this.peers = peers;
     const known = new Set(peers);
     for (const peer of [...this.states.keys()]) {
       if (!known.has(peer)) {
         this.states.delete(peer);
-        this.silent.delete(peer);
+        this.unresponsive.delete(peer);
       }
     }
   }
 
-  /** Since when a peer is known to be ahead, in milliseconds; undefined while none is. */
+  /** When a peer was first known to be ahead, in milliseconds; undefined if none is. */
   get behindSinceMs(): number | undefined {
     return this.ahead?.sinceMs;
   }
 
-  /** Whether nothing is heard of the peer. */
-  isSilent(peer: string): boolean {
-    return this.states.get(peer)?.isSilent === true;
+  isUnresponsive(peer: string): boolean {
+    return this.states.get(peer)?.isUnresponsive === true;
   }
 
-  /** The peer gave a sign of life. */
-  heard(peer: string, nowMs: number): PeerEffect[] {
+  /** Records that the peer has answered a request or sent a datagram. */
+  recordReceived(peer: string, nowMs: number): PeerEffect[] {
     const state = this.stateOf(peer);
-    const wasSilent = state.isSilent;
-    state.heardAtMs = nowMs;
+    const wasUnresponsive = state.isUnresponsive;
+    state.lastReceivedAtMs = nowMs;
     state.unansweredPings = 0;
-    state.isSilent = false;
-    this.silent.delete(peer);
-    return wasSilent ? [{ type: 'heard-again', peer }] : [];
+    state.isUnresponsive = false;
+    this.unresponsive.delete(peer);
+    return wasUnresponsive ? [{ type: 'heard-again', peer }] : [];
   }
 
-  /** The changes of a peer that is ahead could not be had. */
+  /** Records that a fetch from the peer has failed. */
   fetchFailed(peer: string): void {
     if (this.ahead?.peer === peer) {
       this.ahead = { ...this.ahead, hasFailed: true };
     }
   }
 
-  /** A datagram arrived. */
-  receive(peer: string, datagram: SignOfLife, own: ReplicaState, nowMs: number): PeerEffect[] {
-    const effects = this.heard(peer, nowMs);
+  /** Handles a ping or an acknowledgement. */
+  receive(
+    peer: string,
+    datagram: LivenessDatagram,
+    own: ReplicaState,
+    nowMs: number,
+  ): PeerEffect[] {
+    const effects = this.recordReceived(peer, nowMs);
     this.compare(peer, datagram.revision, own.revision, nowMs);
     if (datagram.kind === 'ping') {
-      const answer: SignOfLife = { kind: 'acknowledgement', ...own };
+      const answer: LivenessDatagram = { kind: 'acknowledgement', ...own };
       effects.push({ type: 'send', to: peer, datagram: answer });
     }
     return effects;
   }
 
-  /** To be called often; `awaited` are the peers that owe this node an answer. */
+  /** Must be called several times per second; `awaited` are the peers that owe this node an answer. */
   tick(nowMs: number, own: ReplicaState, awaited: Iterable<AwaitedPeer>): PeerEffect[] {
-    const ping: SignOfLife = { kind: 'ping', ...own };
+    const ping: LivenessDatagram = { kind: 'ping', ...own };
     const effects: PeerEffect[] = [];
     for (const { peer, sinceMs } of awaited) {
       effects.push(...this.probe(peer, sinceMs, ping, nowMs));
     }
-    for (const [peer, state] of this.silent) {
-      if (nowMs - state.pingedAtMs >= SILENT_PING_INTERVAL_MS) {
-        state.pingedAtMs = nowMs;
+    for (const [peer, state] of this.unresponsive) {
+      if (nowMs - state.lastPingAtMs >= UNRESPONSIVE_PING_INTERVAL_MS) {
+        state.lastPingAtMs = nowMs;
         effects.push({ type: 'send', to: peer, datagram: ping });
       }
     }
-    return [...effects, ...this.gossip(ping, nowMs), ...this.fetch(own.revision, nowMs)];
+    return [...effects, ...this.pingRandomPeer(ping, nowMs), ...this.fetch(own.revision, nowMs)];
   }
 
-  private probe(peer: string, sinceMs: number, ping: SignOfLife, nowMs: number): PeerEffect[] {
+  private probe(
+    peer: string,
+    sinceMs: number,
+    ping: LivenessDatagram,
+    nowMs: number,
+  ): PeerEffect[] {
     const state = this.stateOf(peer);
-    const quietSinceMs = Math.max(sinceMs, state.heardAtMs);
-    const isQuiet = nowMs - quietSinceMs >= AWAITED_SILENCE_MS;
-    if (!isQuiet || state.isSilent || nowMs - state.pingedAtMs < PING_INTERVAL_MS) {
+    const idleSinceMs = Math.max(sinceMs, state.lastReceivedAtMs);
+    const isIdle = nowMs - idleSinceMs >= PING_AFTER_IDLE_MS;
+    if (!isIdle || state.isUnresponsive || nowMs - state.lastPingAtMs < PING_INTERVAL_MS) {
       return [];
     }
-    if (state.unansweredPings >= PINGS_TO_SILENCE) {
-      state.isSilent = true;
-      this.silent.set(peer, state);
+    if (state.unansweredPings >= MAX_UNANSWERED_PINGS) {
+      state.isUnresponsive = true;
+      this.unresponsive.set(peer, state);
       return [{ type: 'silent', peer }];
     }
     state.unansweredPings += 1;
-    state.pingedAtMs = nowMs;
+    state.lastPingAtMs = nowMs;
     return [{ type: 'send', to: peer, datagram: ping }];
   }
 
-  private gossip(ping: SignOfLife, nowMs: number): PeerEffect[] {
+  private pingRandomPeer(ping: LivenessDatagram, nowMs: number): PeerEffect[] {
     const to = this.peers[Math.floor(this.random() * this.peers.length)];
     if (nowMs < this.nextGossipAtMs || to === undefined) {
       return [];
@@ -165,13 +174,13 @@
 
   private compare(peer: string, revision: number, ownRevision: number, nowMs: number): void {
     const { ahead } = this;
-    const takesPlace = ahead?.hasFailed === true && revision === ahead.revision;
-    if (revision > ownRevision && (revision > (ahead?.revision ?? 0) || takesPlace)) {
+    const replacesFailed = ahead?.hasFailed === true && revision === ahead.revision;
+    if (revision > ownRevision && (revision > (ahead?.revision ?? 0) || replacesFailed)) {
       this.ahead = { peer, revision, sinceMs: ahead?.sinceMs ?? nowMs, hasFailed: false };
     }
   }
 
-  /** A node that holds nothing fetches at once; others first leave it to their watch of the store. */
+  /** A node without state fetches at once; others wait for their watch of the store to deliver the change. */
   private fetch(ownRevision: number, nowMs: number): PeerEffect[] {
     if (this.ahead !== undefined && this.ahead.revision <= ownRevision) {
       this.ahead = undefined;
@@ -180,7 +189,7 @@
       return [];
     }
     const { peer, sinceMs } = this.ahead;
-    if (ownRevision > 0 && nowMs - sinceMs < AHEAD_PERIOD_MS) {
+    if (ownRevision > 0 && nowMs - sinceMs < FETCH_DELAY_MS) {
       return [];
     }
     this.nextFetchAtMs = nowMs + FETCH_INTERVAL_MS;
@@ -190,7 +199,12 @@
   private stateOf(peer: string): PeerState {
     let state = this.states.get(peer);
     if (state === undefined) {
-      state = { heardAtMs: -Infinity, pingedAtMs: -Infinity, unansweredPings: 0, isSilent: false };
+      state = {
+        lastReceivedAtMs: -Infinity,
+        lastPingAtMs: -Infinity,
+        unansweredPings: 0,
+        isUnresponsive: false,
+      };
       this.states.set(peer, state);
     }
     return state;
--- a/src/peers/reader-order.ts
+++ b/src/peers/reader-order.ts
@@ -1,38 +1,38 @@
 /**
- * Which nodes of a zone read the store, and whom the others follow, worked out by each node for itself
- * from the list of machines (rendezvous hashing): no messages, no agreement. The machines of a zone
- * stand in the order of a hash of their names; the first ones read, and each other one follows one
- * that stands before it, so that followers form a tree and never a circle. Pure.
+ * Determines which nodes of a zone read the store and which peers the others follow. Each node computes
+ * this from the list of machines by rendezvous hashing, without messages or consensus. The machines of a
+ * zone are ordered by a hash of their addresses. The first ones read the store, and each other one follows
+ * a predecessor, so that the followers form a tree without cycles. Pure.
  */
 import { hashFraction } from '../routing/hash-fraction.js';
 
-/** Readers of the whole fleet, where zones share them evenly: the store's cost does not grow with it. */
+/** Readers of the whole fleet, divided evenly among zones, so that the store's load is independent of its size. */
 const FLEET_READERS = 12;
-/** Readers of a zone at least: the death of one leaves another. */
+/** Minimum number of readers in a zone, so that one remains if another fails. */
 const MIN_ZONE_READERS = 2;
-/** Followers that each node is meant to have. A tree of three levels holds a zone of 300 nodes. */
+/** Planned number of followers per node. A tree of three levels covers a zone of 300 nodes. */
 export const FOLLOWERS_PER_NODE = 8;
 
-/** A machine that may read or be followed. */
+/** A machine that may read the store or be followed. */
 export interface ReaderCandidate {
-  /** IP number, the machine's identity. */
+  /** IP address, which identifies the machine. */
   readonly address: string;
   readonly zone: string;
 }
 
-/** One node's place in its zone. */
-export interface ReaderPlace {
-  /** Machines of the zone that stand before this one, in order. */
-  readonly ahead: readonly string[];
+/** A node's position in the reader order of its zone. */
+export interface ReaderPosition {
+  /** Machines of the zone that precede this one, in order. */
+  readonly predecessors: readonly string[];
   /** All other machines of the zone. */
   readonly neighbours: ReadonlySet<string>;
-  /** How many of the first machines read. */
-  readonly readers: number;
-  /** Machines of the zone, this one among them. */
+  /** Number of machines, from the first in the order, that read the store. */
+  readonly readerCount: number;
+  /** Number of machines in the zone, including this one. */
   readonly zoneSize: number;
 }
 
-/** Keeps the order of one node's zone as machines come and go. */
+/** Computes a node's position in its zone and caches the hashes of the zone's machines. */
 export class ReaderOrder {
   private readonly hashes = new Map<string, number>();
   private readonly ownHash: number;
@@ -41,8 +41,8 @@
     this.ownHash = hashFraction(self.address);
   }
 
-  /** The place of this node among `machines`, whether it is one of them or not. */
-  placeAmong(machines: Iterable<ReaderCandidate>): ReaderPlace {
+  /** Returns the position of this node among `machines`, which need not include it. */
+  positionAmong(machines: Iterable<ReaderCandidate>): ReaderPosition {
     const zones = new Set([this.self.zone]);
     const neighbours = new Set<string>();
     for (const { address, zone } of machines) {
@@ -51,22 +51,22 @@
         neighbours.add(address);
       }
     }
-    this.forgetExcept(neighbours);
+    this.retainOnly(neighbours);
     return {
-      ahead: this.inOrder([...neighbours]),
+      predecessors: this.predecessorsAmong([...neighbours]),
       neighbours,
-      readers: Math.max(MIN_ZONE_READERS, Math.ceil(FLEET_READERS / zones.size)),
+      readerCount: Math.max(MIN_ZONE_READERS, Math.ceil(FLEET_READERS / zones.size)),
       zoneSize: neighbours.size + 1,
     };
   }
 
-  private inOrder(neighbours: readonly string[]): string[] {
+  private predecessorsAmong(neighbours: readonly string[]): string[] {
     return neighbours
-      .filter((address) => this.standsBefore(address))
+      .filter((address) => this.precedes(address))
       .sort((left, right) => this.hashOf(left) - this.hashOf(right) || compareTexts(left, right));
   }
 
-  private standsBefore(address: string): boolean {
+  private precedes(address: string): boolean {
     const hash = this.hashOf(address);
     return hash < this.ownHash || (hash === this.ownHash && address < this.self.address);
   }
@@ -80,7 +80,7 @@
     return hash;
   }
 
-  private forgetExcept(addresses: ReadonlySet<string>): void {
+  private retainOnly(addresses: ReadonlySet<string>): void {
     for (const address of this.hashes.keys()) {
       if (!addresses.has(address)) {
         this.hashes.delete(address);
--- a/src/peers/source-choice.ts
+++ b/src/peers/source-choice.ts
@@ -1,119 +1,126 @@
 /**
- * Where a node gets the store's changes from: from the store itself, or from the feed of another node.
- * A few nodes of each zone read; the others follow one that stands before them ({@link ReaderOrder}).
- * What counts is not who is said to be alive but how old a node's state is: each feed tells when a
- * reader last heard from the store. A node whose state has grown old follows any peer that it knows to
- * be up to date, and asks the store itself after a random wait, so that a fleet that the store fails
- * asks it a bounded number of times a second, whatever its size. Pure: events in, effects out.
+ * Chooses the source of the store's changes for a node: the store itself, or the feed of another node.
+ * A few nodes of each zone read the store; the others follow a predecessor ({@link ReaderOrder}). The
+ * choice depends on the age of a node's state, not on liveness reports: each feed reports when a reader
+ * last received an answer from the store. A node with stale state follows any peer known to be up to date,
+ * and reads the store itself after a random delay. During a store outage, the fleet therefore sends a
+ * bounded number of requests per second, whatever its size. Pure: events in, effects out.
  */
 import { MAX_TRANSFER_MS, type TimeoutReason } from '../clock/progress-timer.js';
 import type { RandomSource } from '../control/control-event.js';
-import { FOLLOWERS_PER_NODE, type ReaderPlace } from './reader-order.js';
+import { FOLLOWERS_PER_NODE, type ReaderPosition } from './reader-order.js';
 
 /**
- * Age from which a node's state counts as old, in milliseconds: two rounds of a reader's watch and the
- * way down the tree. A configuration has to be in force within 2 s, the least that users ask for.
+ * Age from which a node's state is stale, in milliseconds: two rounds of a reader's watch plus the
+ * propagation through the tree. The strictest users require a configuration to be in force within 2 s.
  */
 export const STALE_AGE_MS = 1_500;
 /**
- * Silence of a feed after which it is given up, in milliseconds: a reader's round is 600 ms. Any byte ends a
- * silence: when only whole messages did, a message of 1.5 MB on a link of 7 Mbit/s was thrown away shortly
- * before its end and asked for anew.
+ * Idle time after which a feed is closed, in milliseconds; a reader's round is 600 ms. Any received byte
+ * resets it: if only complete messages did, a message of 1.5 MB on a link of 7 Mbit/s would be discarded
+ * shortly before its end and requested again.
  */
-const FEED_SILENCE_MS = 1_100;
-/** Time in which a feed has to begin, in milliseconds: two nodes are a few away from each other. */
-const FEED_OPEN_MS = 450;
+const FEED_IDLE_TIMEOUT_MS = 1_100;
+/** Time within which the first message of a feed must arrive, in milliseconds. Latency between nodes is a few. */
+const FEED_OPEN_TIMEOUT_MS = 450;
 /**
- * How much longer each feed gets to begin than the one before, after feeds that said nothing in their
- * time, begun or not, and how often at most: a link that is full delays every feed, and the next one is no
- * better.
+ * Factor by which the opening timeout grows after each feed that timed out, before or after its first
+ * message, and the maximum number of steps. A saturated link delays every feed, so that changing to another
+ * peer does not help.
  */
-const PATIENCE_FACTOR = 2;
-const MAX_PATIENCE_STEPS = 2;
-/** Time for which a feed has to go on until those after it get no more than the usual time again. */
-const PATIENCE_ENDS_MS = 10_000;
+const OPEN_TIMEOUT_FACTOR = 2;
+const MAX_OPEN_TIMEOUT_STEPS = 2;
+/** Time since its opening after which a working feed resets the opening timeout, in milliseconds. */
+const OPEN_TIMEOUT_RESET_MS = 10_000;
 /** Time for which a peer is not followed after its feed failed, in milliseconds. */
-const AVOID_MS = 2_000;
-/** Time after which a feed from another zone is given up for one of the own, in milliseconds. */
-const FOREIGN_FEED_MS = 5_000;
-/** A zone whose nodes have old state tries the store once in this time on average, in milliseconds. */
-const TRIAL_SPACING_MS = 300;
-/** A node that has just started follows nobody for up to this time, in milliseconds: feeds of a fleet
- * that starts as one would otherwise begin with the whole state. */
-const SETTLE_MS = 2_000;
-/** Time after which what a reader told is forgotten, in milliseconds: it may have started anew. */
-const CONFIRMATION_MEMORY_MS = 10_000;
-/** Gap between two ticks that shows that this process stood still, in milliseconds. */
-const PAUSE_MS = 400;
-
-/** Something to be done. */
+const FAILED_PEER_BACKOFF_MS = 2_000;
+/** Time after which a feed from another zone is replaced by one from the node's own zone, in milliseconds. */
+const OTHER_ZONE_FEED_MS = 5_000;
+/** Average interval between attempts to read the store in a zone whose nodes are stale, in milliseconds. */
+const READ_TRIAL_INTERVAL_MS = 300;
+/**
+ * Maximum time for which a started node follows no peer, in milliseconds. Otherwise, if a whole fleet starts
+ * at once, every feed would begin with the full state.
+ */
+const MAX_FOLLOW_DELAY_MS = 2_000;
+/** Time after which a reader's last confirmation is discarded, in milliseconds; the reader may have restarted. */
+const CONFIRMATION_RETENTION_MS = 10_000;
+/** Gap between two ticks that indicates that this process was suspended, in milliseconds. */
+const MIN_PAUSE_MS = 400;
+
+/** An action for the caller to execute. */
 export type SourceEffect =
   | { readonly type: 'read' }
   | { readonly type: 'stop-reading' }
-  /** Open the feed of a peer; there is none open. */
+  /** Open the feed of a peer; no other feed is open. */
   | { readonly type: 'follow'; readonly peer: string }
-  /** Close the feed; with a failure where it is given up. */
+  /** Close the feed, because of `failure` if it is present. */
   | { readonly type: 'stop-following'; readonly failure?: FeedFailure };
 
-/** Why a feed is given up. */
+/** Why a feed is closed. */
 export interface FeedFailure {
   readonly reason: TimeoutReason;
-  /** How long that was so, in milliseconds. */
+  /** How long the condition had lasted, in milliseconds. */
   readonly afterMs: number;
 }
 
-/** How up to date a node's state is: which answer of the store to which reader confirmed it. */
+/** How up to date a node's state is: the age of the store's answer that confirmed it, and its reader. */
 export interface Freshness {
-  /** Time since that answer, in milliseconds; Infinity when there was none. */
+  /** Time since that answer, in milliseconds; Infinity if there was none. */
   readonly ageMs: number;
   /** The reader's address. */
   readonly reader: string;
-  /** Rises with each answer that the reader got. */
+  /** Increases with each answer that the reader receives. */
   readonly confirmation: number;
 }
 
 interface Feed {
   readonly peer: string;
   readonly openedAtMs: number;
-  heardAtMs: number;
-  /** Since when a message has been on its way whose end is missing; undefined while none is. */
-  deliveringSinceMs: number | undefined;
-  /** When the reader behind the feed last heard from the store. */
+  lastReceivedAtMs: number;
+  /** When an incomplete message began to arrive; undefined if there is none. */
+  receivingSinceMs: number | undefined;
+  /** When the reader behind the feed last received an answer from the store. */
   confirmedAtMs: number;
   reader: string;
 }
 
-/** The latest answer that a reader told of. */
+/** The latest answer of the store that a reader reported. */
 interface Confirmation {
   readonly sequence: number;
   readonly atMs: number;
 }
 
 const NEVER_MS = -Infinity;
-const NO_PLACE: ReaderPlace = { ahead: [], neighbours: new Set(), readers: 1, zoneSize: 1 };
-
-/** The choice of one node. It reads until it has a feed. */
+const INITIAL_POSITION: ReaderPosition = {
+  predecessors: [],
+  neighbours: new Set(),
+  readerCount: 1,
+  zoneSize: 1,
+};
+
+/** The source of one node. The node reads the store until it has a feed. */
 export class SourceChoice {
-  private place = NO_PLACE;
+  private position = INITIAL_POSITION;
   private isReading = true;
   private feed: Feed | undefined;
   private readonly avoidedUntilMs = new Map<string, number>();
-  /** When peers elsewhere were last confirmed to be up to date, by what they say. */
+  /** When peers were last confirmed to be up to date, according to the age that they report. */
   private readonly confirmedPeersAtMs = new Map<string, number>();
   private confirmedAtMs = NEVER_MS;
   private storeAnsweredAtMs = NEVER_MS;
   private confirmedBy: string;
   private confirmation: number;
   private ownConfirmation: number;
-  /** By reader. What was told before confirms nothing, so that no circle of feeds keeps itself fresh. */
+  /** By reader. A repeated confirmation is ignored, so that a cycle of feeds can't keep itself fresh. */
   private readonly confirmations = new Map<string, Confirmation>();
   private followsFromMs = Infinity;
-  /** Feeds in a row that went silent, before they began or later: either may be a link that is full. */
-  private silentFeeds = 0;
+  /** Consecutive feeds that timed out before or after their first message; a full link may cause either. */
+  private timedOutFeeds = 0;
   private trialAtMs: number | undefined;
   private lastTickMs = NEVER_MS;
 
-  /** `firstConfirmation` is higher than that of an earlier process of this machine. */
+  /** `firstConfirmation` must be higher than any confirmation of an earlier process of this machine. */
   constructor(
     private readonly address: string,
     private readonly random: RandomSource,
@@ -124,75 +131,73 @@
     this.confirmation = firstConfirmation;
   }
 
-  /** Whether the node is meant to read the store at present. */
-  get reads(): boolean {
+  /** Whether the node should currently read the store. */
+  get shouldRead(): boolean {
     return this.isReading;
   }
 
-  /** The peer whose feed is open, or being opened. */
-  get followed(): string | undefined {
+  /** The peer whose feed is open or being opened. */
+  get followedPeer(): string | undefined {
     return this.feed?.peer;
   }
 
-  /** How up to date the node's state is. */
   freshness(nowMs: number): Freshness {
     const { confirmedAtMs, confirmedBy: reader, confirmation } = this;
     return { ageMs: nowMs - confirmedAtMs, reader, confirmation };
   }
 
-  /** Takes the node's place in its zone. */
-  setPlace(place: ReaderPlace): void {
-    this.place = place;
+  setPosition(position: ReaderPosition): void {
+    this.position = position;
   }
 
-  /** The store answered this node. */
+  /** Records that the store has answered this node. */
   storeAnswered(nowMs: number): void {
     this.trialAtMs = undefined;
     if (this.followsFromMs === Infinity) {
-      this.followsFromMs = nowMs + SETTLE_MS * (0.5 + this.random() / 2);
+      this.followsFromMs = nowMs + MAX_FOLLOW_DELAY_MS * (0.5 + this.random() / 2);
     }
     this.ownConfirmation += 1;
     this.storeAnsweredAtMs = nowMs;
     this.confirm(nowMs, this.address, this.ownConfirmation);
   }
 
-  /** The store failed this node. One that is no reader by its place leaves the store alone for a while. */
+  /** Handles a failed read of the store. A node that is not a reader by its position then pauses its reads. */
   storeFailed(nowMs: number): SourceEffect[] {
-    if (this.isReaderByPlace(nowMs) || this.confirmedAtMs === NEVER_MS || !this.isReading) {
+    if (this.isReaderByPosition(nowMs) || this.confirmedAtMs === NEVER_MS || !this.isReading) {
       return [];
     }
     this.trialAtMs = undefined;
     return this.setReading(false);
   }
 
-  /** Bytes came over the open feed; `isPartial` while the end of a message is missing. */
+  /** Records that bytes arrived on the open feed; `isPartial` if the last message is incomplete. */
   feedProgressed(peer: string, isPartial: boolean, nowMs: number): void {
     const { feed } = this;
     if (feed?.peer === peer) {
-      feed.heardAtMs = nowMs;
-      feed.deliveringSinceMs = isPartial ? (feed.deliveringSinceMs ?? nowMs) : undefined;
+      feed.lastReceivedAtMs = nowMs;
+      feed.receivingSinceMs = isPartial ? (feed.receivingSinceMs ?? nowMs) : undefined;
     }
   }
 
-  /** The open feed told something; true when it confirms this node's state anew. */
-  feedHeard(peer: string, told: Freshness, nowMs: number): boolean {
+  /** Handles a message of the open feed; true if it is a newer confirmation of this node's state. */
+  feedMessageReceived(peer: string, message: Freshness, nowMs: number): boolean {
     if (this.feed?.peer !== peer) {
       return false;
     }
-    const known = this.confirmations.get(told.reader);
-    const isNew = known === undefined || known.sequence < told.confirmation;
-    const atMs = isNew ? nowMs - told.ageMs : Math.min(known.atMs, nowMs - told.ageMs);
-    this.feed.heardAtMs = nowMs;
+    const known = this.confirmations.get(message.reader);
+    const isNew = known === undefined || known.sequence < message.confirmation;
+    const atMs = isNew ? nowMs - message.ageMs : Math.min(known.atMs, nowMs - message.ageMs);
+    this.feed.lastReceivedAtMs = nowMs;
     this.feed.confirmedAtMs = Math.max(this.feed.confirmedAtMs, atMs);
-    this.feed.reader = told.reader;
-    if (!isNew || told.reader === this.address) {
+    this.feed.reader = message.reader;
+    if (!isNew || message.reader === this.address) {
       return false;
     }
-    this.confirmations.set(told.reader, { sequence: told.confirmation, atMs });
-    return this.confirm(atMs, told.reader, told.confirmation);
+    this.confirmations.set(message.reader, { sequence: message.confirmation, atMs });
+    return this.confirm(atMs, message.reader, message.confirmation);
   }
 
-  /** The feed of `peer` ended, or could not be opened. */
+  /** Handles the end of the feed of `peer`, or the failure to open it. */
   feedEnded(peer: string, nowMs: number): void {
     if (this.feed?.peer === peer) {
       this.avoid(peer, nowMs);
@@ -200,78 +205,81 @@
     }
   }
 
-  /** A peer anywhere told how old its state is. */
-  peerHeard(peer: string, ageMs: number, nowMs: number): void {
+  /** Records the age of the state that a peer in any zone has reported. */
+  recordPeerAge(peer: string, ageMs: number, nowMs: number): void {
     if (ageMs < STALE_AGE_MS) {
       this.confirmedPeersAtMs.set(peer, nowMs - ageMs);
     }
   }
 
-  /** To be called several times a second. */
+  /** Must be called several times per second. */
   tick(nowMs: number): SourceEffect[] {
-    const hasStoodStill = nowMs - this.lastTickMs > PAUSE_MS;
+    const wasSuspended = nowMs - this.lastTickMs > MIN_PAUSE_MS;
     this.lastTickMs = nowMs;
-    this.forgetOld(nowMs);
-    const effects = hasStoodStill ? this.bearPause(nowMs) : this.endSilentFeed(nowMs);
+    this.pruneExpired(nowMs);
+    const effects = wasSuspended ? this.resetFeedTimeouts(nowMs) : this.closeFailedFeed(nowMs);
     return [...effects, ...this.chooseFeed(nowMs), ...this.chooseReading(nowMs)];
   }
 
-  /** What arrived while the process stood still is not read yet. */
-  private bearPause(nowMs: number): SourceEffect[] {
+  /** Restarts the feed timeouts, since data that arrived during the suspension has not been read yet. */
+  private resetFeedTimeouts(nowMs: number): SourceEffect[] {
     const { feed } = this;
     if (feed !== undefined) {
-      feed.heardAtMs = nowMs;
-      feed.deliveringSinceMs = feed.deliveringSinceMs === undefined ? undefined : nowMs;
+      feed.lastReceivedAtMs = nowMs;
+      feed.receivingSinceMs = feed.receivingSinceMs === undefined ? undefined : nowMs;
     }
     return [];
   }
 
-  private endSilentFeed(nowMs: number): SourceEffect[] {
+  private closeFailedFeed(nowMs: number): SourceEffect[] {
     if (this.feed === undefined) {
       return [];
     }
     const failure = this.failureOf(this.feed, nowMs);
     if (failure === undefined) {
-      this.endPatience(this.feed, nowMs);
+      this.resetOpenTimeout(this.feed, nowMs);
       return [];
     }
     this.avoid(this.feed.peer, nowMs);
     this.feed = undefined;
-    this.silentFeeds = Math.min(MAX_PATIENCE_STEPS, this.silentFeeds + 1);
+    this.timedOutFeeds = Math.min(MAX_OPEN_TIMEOUT_STEPS, this.timedOutFeeds + 1);
     return [{ type: 'stop-following', failure }];
   }
 
   private failureOf(feed: Feed, nowMs: number): FeedFailure | undefined {
-    const silentMs = nowMs - feed.heardAtMs;
-    if (silentMs >= this.feedPatienceMs(feed)) {
-      return { reason: 'silent', afterMs: silentMs };
+    const idleMs = nowMs - feed.lastReceivedAtMs;
+    if (idleMs >= this.feedTimeoutMs(feed)) {
+      return { reason: 'silent', afterMs: idleMs };
     }
-    const deliveringMs = nowMs - (feed.deliveringSinceMs ?? nowMs);
-    return deliveringMs >= MAX_TRANSFER_MS ? { reason: 'slow', afterMs: deliveringMs } : undefined;
+    const receivingMs = nowMs - (feed.receivingSinceMs ?? nowMs);
+    return receivingMs >= MAX_TRANSFER_MS ? { reason: 'slow', afterMs: receivingMs } : undefined;
   }
 
-  /** How long a feed may say nothing, in milliseconds. */
-  private feedPatienceMs({ confirmedAtMs, deliveringSinceMs }: Feed): number {
+  /** How long a feed may be idle, in milliseconds. */
+  private feedTimeoutMs({ confirmedAtMs, receivingSinceMs: deliveringSinceMs }: Feed): number {
     const hasBegun = confirmedAtMs !== NEVER_MS || deliveringSinceMs !== undefined;
-    return hasBegun ? FEED_SILENCE_MS : FEED_OPEN_MS * PATIENCE_FACTOR ** this.silentFeeds;
+    return hasBegun
+      ? FEED_IDLE_TIMEOUT_MS
+      : FEED_OPEN_TIMEOUT_MS * OPEN_TIMEOUT_FACTOR ** this.timedOutFeeds;
   }
 
-  private endPatience({ openedAtMs, confirmedAtMs }: Feed, nowMs: number): void {
-    if (confirmedAtMs !== NEVER_MS && nowMs - openedAtMs >= PATIENCE_ENDS_MS) {
-      this.silentFeeds = 0;
+  private resetOpenTimeout({ openedAtMs, confirmedAtMs }: Feed, nowMs: number): void {
+    if (confirmedAtMs !== NEVER_MS && nowMs - openedAtMs >= OPEN_TIMEOUT_RESET_MS) {
+      this.timedOutFeeds = 0;
     }
   }
 
   private chooseFeed(nowMs: number): SourceEffect[] {
     const isStale = this.isStale(nowMs);
-    if (this.isReaderByPlace(nowMs) && this.isServedByStore(nowMs)) {
+    if (this.isReaderByPosition(nowMs) && this.isServedByStore(nowMs)) {
       return this.stopFollowing();
     }
-    const hasFeed = this.isDelivering || (this.isFeedFresh(nowMs) && !this.isForeignForLong(nowMs));
+    const hasFeed =
+      this.isReceiving || (this.isFeedFresh(nowMs) && !this.isOtherZoneFeedExpired(nowMs));
     if (nowMs < this.followsFromMs || hasFeed) {
       return [];
     }
-    const peer = (isStale ? this.freshestPeer(nowMs) : undefined) ?? this.peerByPlace(nowMs);
+    const peer = (isStale ? this.freshestPeer(nowMs) : undefined) ?? this.peerByPosition(nowMs);
     const isOpening = this.feed !== undefined && this.feed.confirmedAtMs === NEVER_MS;
     if (peer === undefined || peer === this.feed?.peer || isOpening) {
       return [];
@@ -280,8 +288,8 @@
     this.feed = {
       peer,
       openedAtMs: nowMs,
-      heardAtMs: nowMs,
-      deliveringSinceMs: undefined,
+      lastReceivedAtMs: nowMs,
+      receivingSinceMs: undefined,
       confirmedAtMs: NEVER_MS,
       reader: peer,
     };
@@ -297,7 +305,7 @@
   }
 
   private chooseReading(nowMs: number): SourceEffect[] {
-    if (this.isReaderByPlace(nowMs)) {
+    if (this.isReaderByPosition(nowMs)) {
       return this.setReading(true);
     }
     if (this.isFeedFresh(nowMs)) {
@@ -307,12 +315,12 @@
     return this.isReading || !this.isTrialDue(nowMs) ? [] : this.setReading(true);
   }
 
-  /** Draws the time of the next trial when none is drawn; the more nodes may try, the later. */
+  /** Draws a random time for the next attempt if none is set; the delay grows with the size of the zone. */
   private isTrialDue(nowMs: number): boolean {
     if (!this.isStale(nowMs)) {
       return false;
     }
-    const spreadMs = this.place.zoneSize * TRIAL_SPACING_MS;
+    const spreadMs = this.position.zoneSize * READ_TRIAL_INTERVAL_MS;
     this.trialAtMs ??= nowMs + this.random() * spreadMs * 2;
     return nowMs >= this.trialAtMs;
   }
@@ -325,31 +333,31 @@
     return [{ type: isReading ? 'read' : 'stop-reading' }];
   }
 
-  /** Peers whose feeds failed are left out, so that others take their place. */
-  private isReaderByPlace(nowMs: number): boolean {
-    return this.usableAhead(nowMs).length < this.place.readers;
+  /** Excludes peers whose feeds failed, so that other machines become readers in their place. */
+  private isReaderByPosition(nowMs: number): boolean {
+    return this.usablePredecessors(nowMs).length < this.position.readerCount;
   }
 
-  private peerByPlace(nowMs: number): string | undefined {
-    const usable = this.usableAhead(nowMs);
-    const index = Math.floor((usable.length - this.place.readers) / FOLLOWERS_PER_NODE);
+  private peerByPosition(nowMs: number): string | undefined {
+    const usable = this.usablePredecessors(nowMs);
+    const index = Math.floor((usable.length - this.position.readerCount) / FOLLOWERS_PER_NODE);
     return usable[Math.max(0, index)];
   }
 
-  private usableAhead(nowMs: number): readonly string[] {
-    const { ahead } = this.place;
+  private usablePredecessors(nowMs: number): readonly string[] {
+    const { predecessors: predecessors } = this.position;
     return this.avoidedUntilMs.size === 0
-      ? ahead
-      : ahead.filter((peer) => nowMs >= (this.avoidedUntilMs.get(peer) ?? NEVER_MS));
+      ? predecessors
+      : predecessors.filter((peer) => nowMs >= (this.avoidedUntilMs.get(peer) ?? NEVER_MS));
   }
 
-  /** Peers of the own zone go first: bytes between zones cost more. */
+  /** Prefers peers of the node's own zone, since traffic between zones costs more. */
   private freshestPeer(nowMs: number): string | undefined {
     let freshest: string | undefined;
     let freshestRank = -Infinity;
     for (const [peer, confirmedAtMs] of this.confirmedPeersAtMs) {
       const ageMs = nowMs - confirmedAtMs;
-      const rank = (this.place.neighbours.has(peer) ? STALE_AGE_MS : 0) - ageMs;
+      const rank = (this.position.neighbours.has(peer) ? STALE_AGE_MS : 0) - ageMs;
       if (ageMs < STALE_AGE_MS && rank > freshestRank && !this.avoidedUntilMs.has(peer)) {
         freshest = peer;
         freshestRank = rank;
@@ -358,17 +366,17 @@
     return freshest;
   }
 
-  private isForeignForLong(nowMs: number): boolean {
+  private isOtherZoneFeedExpired(nowMs: number): boolean {
     const { feed } = this;
     return (
       feed !== undefined &&
-      !this.place.neighbours.has(feed.peer) &&
-      nowMs - feed.openedAtMs >= FOREIGN_FEED_MS &&
-      this.usableAhead(nowMs).length > 0
+      !this.position.neighbours.has(feed.peer) &&
+      nowMs - feed.openedAtMs >= OTHER_ZONE_FEED_MS &&
+      this.usablePredecessors(nowMs).length > 0
     );
   }
 
-  /** A feed that goes back to this node's own reading proves nothing. */
+  /** A feed whose reader is this node itself does not confirm its state. */
   private isFeedFresh(nowMs: number): boolean {
     const { feed } = this;
     return (
@@ -378,9 +386,9 @@
     );
   }
 
-  /** What is on its way is not given up for a feed that has brought nothing yet. */
-  private get isDelivering(): boolean {
-    return this.feed?.deliveringSinceMs !== undefined;
+  /** Whether a message is arriving; its feed is not closed in favour of one that has delivered nothing yet. */
+  private get isReceiving(): boolean {
+    return this.feed?.receivingSinceMs !== undefined;
   }
 
   private isServedByStore(nowMs: number): boolean {
@@ -402,11 +410,11 @@
   }
 
   private avoid(peer: string, nowMs: number): void {
-    this.avoidedUntilMs.set(peer, nowMs + AVOID_MS);
+    this.avoidedUntilMs.set(peer, nowMs + FAILED_PEER_BACKOFF_MS);
     this.confirmedPeersAtMs.delete(peer);
   }
 
-  private forgetOld(nowMs: number): void {
+  private pruneExpired(nowMs: number): void {
     for (const [peer, untilMs] of this.avoidedUntilMs) {
       if (nowMs >= untilMs) {
         this.avoidedUntilMs.delete(peer);
@@ -418,7 +426,7 @@
       }
     }
     for (const [reader, { atMs }] of this.confirmations) {
-      if (nowMs - atMs >= CONFIRMATION_MEMORY_MS) {
+      if (nowMs - atMs >= CONFIRMATION_RETENTION_MS) {
         this.confirmations.delete(reader);
       }
     }
--- a/src/peers/suspicion-gossip.ts
+++ b/src/peers/suspicion-gossip.ts
@@ -1,34 +1,34 @@
 /**
- * Spreads what is known of requests under which endpoints ended: each node passes what is new to it on to a
- * few others at once, and two nodes whose digests differ tell each other what they know. Pure: gives what
- * is to be sent.
+ * Gossips suspicions, which are requests during which endpoints crashed. Each node immediately forwards new
+ * suspicions to a few random peers, and two nodes whose digests differ exchange theirs. Pure: returns the
+ * datagrams to send.
  */
 import type { RandomSource } from '../control/control-event.js';
 import type { Suspicion } from '../containment/suspicion.js';
 import { limitToBytes } from '../containment/suspicion-layout.js';
 
 /**
- * Peers to which a node passes on what is new to it. Of so many that each tell four, 98% hear of it without
- * any repetition; the rest ask within a second or two, by their pings.
+ * Number of peers to which a node forwards new suspicions. With a fanout of four, 98% of the nodes receive
+ * them without any retransmission; the others request them within one or two seconds through their pings.
  */
 const FANOUT = 4;
-/** Bytes of a datagram that holds suspicions, at most: one packet on every usual link. */
-const MAX_NEWS_BYTES = 1_200;
-/** Least time between two answers to digests that differ, in milliseconds: 2 KB/s at most. */
+/** Maximum size of a datagram with suspicions, in bytes; it fits into one packet on every usual link. */
+const MAX_DATAGRAM_BYTES = 1_200;
+/** Minimum time between two answers to differing digests, in milliseconds. Limits them to 2 KB/s. */
 const ANSWER_INTERVAL_MS = 600;
 
-/** Something to be sent. */
-export interface SentNews {
+/** Suspicions to send to one peer. */
+export interface OutgoingSuspicions {
   readonly to: string;
   readonly suspicions: readonly Suspicion[];
 }
 
-/** What gossip needs of its node. */
+/** Options of a {@link SuspicionGossip}. */
 export interface SuspicionGossipOptions {
   readonly random: RandomSource;
-  /** Digest of what this node knows. */
+  /** Digest of this node's suspicions. */
   readonly digest: () => number;
-  /** All that it knows, what is most suspected first. */
+  /** All suspicions of this node, the most suspected requests first. */
   readonly list: () => readonly Suspicion[];
 }
 
@@ -39,51 +39,54 @@
 
   constructor(private readonly options: SuspicionGossipOptions) {}
 
-  /** Takes the addresses of all other machines. */
+  /** Sets the addresses of all other machines. */
   setPeers(peers: readonly string[]): void {
     this.peers = peers;
   }
 
-  /** This node has learnt something, from `from` if not by itself. */
-  learned(changed: readonly Suspicion[], from?: string): SentNews[] {
-    const targets = this.draw(FANOUT, from);
+  /** Forwards new suspicions; `from` is the peer that sent them, undefined if they are this node's own. */
+  propagate(changed: readonly Suspicion[], from?: string): OutgoingSuspicions[] {
+    const targets = this.pickPeers(FANOUT, from);
     return packetsOf(changed).flatMap((suspicions) => targets.map((to) => ({ to, suspicions })));
   }
 
-  /** A peer told the digest of what it knows. */
-  heardDigest(from: string, digest: number, nowMs: number): SentNews[] {
+  /** Answers a peer's digest if it differs from this node's. */
+  handleDigest(from: string, digest: number, nowMs: number): OutgoingSuspicions[] {
     const { options } = this;
-    const isLong = nowMs - this.answeredAtMs >= ANSWER_INTERVAL_MS;
-    if (digest === options.digest() || options.digest() === 0 || !isLong) {
+    const isAnswerDue = nowMs - this.answeredAtMs >= ANSWER_INTERVAL_MS;
+    if (digest === options.digest() || options.digest() === 0 || !isAnswerDue) {
       return [];
     }
     this.answeredAtMs = nowMs;
-    return [{ to: from, suspicions: this.selection() }];
+    return [{ to: from, suspicions: this.selectForAnswer() }];
   }
 
-  /** What is most suspected; where that does not fit, any part of it, so that all gets told in time. */
-  private selection(): readonly Suspicion[] {
+  /**
+   * The suspicions for an answer. If not all fit, half of the bytes go to the most suspected requests and
+   * half to a random range, so that all suspicions are eventually sent.
+   */
+  private selectForAnswer(): readonly Suspicion[] {
     const all = this.options.list();
-    const fit = limitToBytes(all, MAX_NEWS_BYTES);
+    const fit = limitToBytes(all, MAX_DATAGRAM_BYTES);
     if (fit.length === all.length) {
       return all;
     }
-    const beginsAt = Math.floor(this.options.random() * all.length);
-    const firstHalf = limitToBytes(all, MAX_NEWS_BYTES / 2);
+    const offset = Math.floor(this.options.random() * all.length);
+    const firstHalf = limitToBytes(all, MAX_DATAGRAM_BYTES / 2);
     const others = limitToBytes(
-      [...all.slice(beginsAt), ...all.slice(0, beginsAt)],
-      MAX_NEWS_BYTES / 2,
+      [...all.slice(offset), ...all.slice(0, offset)],
+      MAX_DATAGRAM_BYTES / 2,
     );
     return [...firstHalf, ...others];
   }
 
-  /** Different peers, drawn at random; fewer when there are no more. */
-  private draw(count: number, without: string | undefined): string[] {
+  /** Picks up to `count` distinct random peers. */
+  private pickPeers(count: number, excluded: string | undefined): string[] {
     const candidates = this.peers.length;
     const drawn = new Set<string>();
     for (let tries = 0; tries < count * 3 && drawn.size < Math.min(count, candidates); tries += 1) {
       const peer = this.peers[Math.floor(this.options.random() * candidates)];
-      if (peer !== undefined && peer !== without) {
+      if (peer !== undefined && peer !== excluded) {
         drawn.add(peer);
       }
     }
@@ -93,11 +96,11 @@
 
 function packetsOf(suspicions: readonly Suspicion[]): (readonly Suspicion[])[] {
   const packets: (readonly Suspicion[])[] = [];
-  let rest = suspicions;
-  while (rest.length > 0) {
-    const packet = limitToBytes(rest, MAX_NEWS_BYTES);
+  let remaining = suspicions;
+  while (remaining.length > 0) {
+    const packet = limitToBytes(remaining, MAX_DATAGRAM_BYTES);
     packets.push(packet);
-    rest = rest.slice(Math.max(1, packet.length));
+    remaining = remaining.slice(Math.max(1, packet.length));
   }
   return packets;
 }
--- a/src/runtime/replica-source.ts
+++ b/src/runtime/replica-source.ts
@@ -10,7 +10,7 @@
 import type { FeedMessage } from '../peers/feed-message.js';
 import { ReaderOrder, type ReaderCandidate } from '../peers/reader-order.js';
 import { SourceChoice, type FeedFailure, type SourceEffect } from '../peers/source-choice.js';
-import type { DeltaTexts } from '../peers/told-delta.js';
+import type { DeltaTextCache } from '../peers/delta-codec.js';
 import type { RefusedItem } from '../store/item-fault.js';
 import type { KeyValueStore } from '../store/key-value-store.js';
 import { StoreFollower } from '../store/store-follower.js';
@@ -50,7 +50,7 @@
   readonly store: KeyValueStore;
   readonly replica: StoreReplica;
   /** The replica's deltas, as followers are told them. */
-  readonly deltas: DeltaTexts;
+  readonly deltas: DeltaTextCache;
   readonly random: RandomSource;
   readonly logger: Logger;
   readonly counters: CounterSink;
@@ -103,7 +103,7 @@
 
   /** Whether this node reads the store. */
   get isReading(): boolean {
-    return this.choice.reads;
+    return this.choice.shouldRead;
   }
 
   /** Whether the last call to the store was answered. */
@@ -123,12 +123,12 @@
 
   /** Takes all machines that the endpoints name. */
   setMachines(machines: Iterable<ReaderCandidate>): void {
-    this.choice.setPlace(this.order.placeAmong(machines));
+    this.choice.setPosition(this.order.positionAmong(machines));
   }
 
   /** A peer told how old its replica is. */
   peerHeard(peer: string, ageMs: number): void {
-    this.choice.peerHeard(peer, ageMs, MACHINE_CLOCK.now());
+    this.choice.recordPeerAge(peer, ageMs, MACHINE_CLOCK.now());
   }
 
   private createFollower(): StoreFollower {
@@ -184,7 +184,7 @@
     }
     const { revision } = replica;
     const hasChanged = delta !== undefined && replica.takeDelta(delta);
-    const isConfirmed = this.choice.feedHeard(peer, message, MACHINE_CLOCK.now());
+    const isConfirmed = this.choice.feedMessageReceived(peer, message, MACHINE_CLOCK.now());
     if (isConfirmed || hasChanged || replica.revision > revision) {
       this.learned(hasChanged, { path: 'feed', peer });
     }
--- a/src/runtime/store-node.ts
+++ b/src/runtime/store-node.ts
@@ -8,7 +8,7 @@
 import { PERIODIC_CHECKS } from '../clock/shared-interval.js';
 import { Containment } from '../containment/containment.js';
 import { PeerExchange } from '../peers/peer-exchange.js';
-import { DeltaTexts } from '../peers/told-delta.js';
+import { DeltaTextCache } from '../peers/delta-codec.js';
 import type { AwaitedPeer } from '../peers/peer-monitor.js';
 import type { CallerProtocol } from '../proxy/caller-protocol.js';
 import type { EndpointProtocol } from '../proxy/endpoint-protocol.js';
@@ -54,7 +54,7 @@
 export class StoreNode {
   private readonly metrics = new Metrics();
   private readonly replica: StoreReplica;
-  private readonly deltas: DeltaTexts;
+  private readonly deltas: DeltaTextCache;
   private readonly containment: Containment;
   private readonly builder: SnapshotBuilder;
   private readonly refusals: RefusedItemReporter;
@@ -79,7 +79,7 @@
       options.logger.warn('close-failed', { name, reason: String(err) });
     });
     this.replica = new StoreReplica((change) => this.missingItemRetentionMs(change));
-    this.deltas = new DeltaTexts(this.replica);
+    this.deltas = new DeltaTextCache(this.replica);
     this.builder = new SnapshotBuilder(options.readRecord);
     this.refusals = this.createRefusals();
     this.containment = this.createContainment();
@@ -187,12 +187,12 @@
       ageMs: () => this.source.ageMs,
       onAge: (peer, ageMs) => this.source.peerHeard(peer, ageMs),
       awaited: () => this.awaitedPeers(),
-      onLearned: (from) => {
+      onDeltaApplied: (from) => {
         logger.info('changes-from-peer', { from, ...this.revisionFields });
         this.source.feed.publish();
         this.takeLearned(true, { path: 'fetch', peer: from });
       },
-      onSilence: (peer, isSilent) => this.takeSilence(peer, isSilent),
+      onUnresponsive: (peer, isSilent) => this.takeSilence(peer, isSilent),
     });
   }
 
@@ -241,10 +241,10 @@
       },
       snapshots: { current: () => this.snapshot },
       members: {
-        status: (address) => (this.peers.isSilent(address) ? 'leaving' : 'unknown'),
+        status: (address) => (this.peers.isUnresponsive(address) ? 'leaving' : 'unknown'),
         relayAddress: (address) => ({ address, port: relay.port }),
         count: () => this.machineCount,
-        recordResponse: (address) => this.peers.heard(address),
+        recordResponse: (address) => this.peers.recordReceived(address),
       },
       counters: this.metrics,
       containment: this.containment,
--- a/src/transport/connection.ts
+++ b/src/transport/connection.ts
@@ -1,25 +1,25 @@
-/** One socket of the peer protocol: bytes to frames and back, in order, with nothing kept per timer. */
+/** One socket of the peer protocol. Converts between bytes and frames, in order, without timers of its own. */
 import type { Socket } from 'node:net';
 import { FrameError } from '../wire/frame-error.js';
 import { FrameReader } from '../wire/frame-reader.js';
 
-/** What a connection tells, always from the socket's events. */
+/** Callbacks of a connection, always called from the socket's events. */
 export interface ConnectionListener {
-  /** A whole body; it is valid during the call only. */
+  /** Receives the body of a complete frame; the buffer is valid only during the call. */
   onFrame(body: Buffer): void;
-  /** A frame can not be taken, or `onFrame` threw this; the connection must be closed. */
+  /** A frame is invalid, or `onFrame` threw this error; the connection must be closed. */
   onFrameError(error: FrameError): void;
-  /** Called once, at the end. */
+  /** Called once, when the socket has closed. */
   onClose(): void;
 }
 
 /** A socket that carries frames. */
 export class Connection {
   private readonly reader: FrameReader;
-  private corked = false;
-  private destroyed = false;
+  private isCorked = false;
+  private isClosing = false;
 
-  /** `maxFrameBytes` bounds incoming bodies until {@link allowFrames}. */
+  /** `maxFrameBytes` limits incoming bodies until {@link setMaxFrameBytes} is called. */
   constructor(
     private readonly socket: Socket,
     maxFrameBytes: number,
@@ -35,62 +35,62 @@
     });
     socket.on('error', ignoreError);
     socket.on('close', () => {
-      this.destroyed = true;
+      this.isClosing = true;
       listener.onClose();
     });
   }
 
-  /** Sets a new bound on the bodies of incoming frames, in bytes. */
-  allowFrames(maxFrameBytes: number): void {
+  /** Sets the maximum size of the bodies of incoming frames. */
+  setMaxFrameBytes(maxFrameBytes: number): void {
     this.reader.maxFrameBytes = maxFrameBytes;
   }
 
-  /** Bytes written that the system has not taken yet. */
+  /** Written bytes that the kernel has not accepted yet. */
   get bufferedBytes(): number {
     return this.socket.writableLength;
   }
 
-  /** Sends a frame; the frames of one turn of the event loop leave together. */
+  /** Sends a frame. Frames written in one turn of the event loop are sent together. */
   write(frame: Buffer): void {
-    if (this.destroyed) {
+    if (this.isClosing) {
       return;
     }
-    if (!this.corked) {
-      this.corked = true;
+    if (!this.isCorked) {
+      this.isCorked = true;
       this.socket.cork();
       process.nextTick(() => {
-        this.corked = false;
+        this.isCorked = false;
         this.socket.uncork();
       });
     }
     this.socket.write(frame);
   }
 
-  /** Whether frames can be sent and will be delivered. */
+  /** Whether frames can be sent and are delivered. */
   get isOpen(): boolean {
-    return !this.destroyed;
+    return !this.isClosing;
   }
 
-  /** Closes towards the peer once what was written has left, and waits for the peer to close. */
+  /** Closes the sending side once all written frames are sent, and waits for the peer to close. */
   end(): void {
-    this.destroyed = true;
+    this.isClosing = true;
     this.socket.end();
   }
 
-  /** Closes as soon as the system has taken what was written. */
+  /** Closes as soon as the kernel has accepted all written frames. */
   destroySoon(): void {
-    this.destroyed = true;
+    this.isClosing = true;
     this.socket.destroySoon();
   }
 
   /** Closes at once. */
   destroy(): void {
-    this.destroyed = true;
+    this.isClosing = true;
     this.socket.destroy();
   }
 
   private receive(chunk: Buffer): void {
-    if (this.destroyed) {
+    if (this.isClosing) {
       return;
     }
     try {
@@ -119,7 +119,7 @@
   }
 }
 
-/** An error of the socket is followed by its close, which is what matters. */
+/** A socket error is followed by `close`, which is handled. */
 function ignoreError(): void {
   return;
 }
--- a/src/transport/deadline-queue.ts
+++ b/src/transport/deadline-queue.ts
@@ -1,12 +1,12 @@
-/** One timer for many things that all get the same time. */
+/** A single timer for many items that share the same timeout. */
 import { MACHINE_CLOCK } from '../clock/machine-clock.js';
 
-/** Items in the order in which they were added, each ended after `durationMs` unless removed. */
+/** Items in insertion order, each of which expires after `durationMs` unless it is removed. */
 export class DeadlineQueue<T> {
   private readonly deadlines = new Map<T, number>();
   private timer: NodeJS.Timeout | undefined;
 
-  /** `onExpired` is called once for an item whose time is over, after it was removed. */
+  /** `onExpired` is called once for an expired item, after its removal. */
   constructor(
     private readonly durationMs: number,
     private readonly onExpired: (item: T) => void,
@@ -34,7 +34,7 @@
     }
   }
 
-  /** Removes all items and gives them back. */
+  /** Removes and returns all items. */
   drain(): T[] {
     const items = [...this.deadlines.keys()];
     items.forEach((item) => {
--- a/src/transport/dial-table.ts
+++ b/src/transport/dial-table.ts
@@ -1,22 +1,22 @@
-/** Dials that are under way, one for each address, and whether a `peer-up` has answered them. */
+/** Pending dials, one per address, and whether a `peer-up` has answered them. */
 import { isIP } from 'node:net';
 import type { PeerAddress } from '../membership/peer-identity.js';
 
 const MAX_PORT = 65_535;
 
-/** Whether this is an IP address with a port. */
+/** Whether the target is an IP address with a valid port. */
 export function isDialable(target: PeerAddress): boolean {
   return isIP(target.address) !== 0 && target.controlPort > 0 && target.controlPort <= MAX_PORT;
 }
 
-/** Whether both stand for the same listener. */
+/** Whether both addresses refer to the same listener. */
 export function isSameAddress(left: PeerAddress, right: PeerAddress): boolean {
   return left.address === right.address && left.controlPort === right.controlPort;
 }
 
-/** What is known of dials between their start and their end. */
+/** Tracks dials between their start and their end. */
 export class DialTable {
-  /** Address and port to whether the dial is answered. */
+  /** Whether the dial has been answered, by address and port. */
   private readonly answered = new Map<string, boolean>();
 
   has(target: PeerAddress): boolean {
@@ -27,14 +27,14 @@
     this.answered.set(keyOf(target), false);
   }
 
-  /** A peer at this address came up, by whatever link. */
-  answer(address: PeerAddress | undefined): void {
+  /** Marks a pending dial as answered, whichever link brought the peer at this address up. */
+  markAnswered(address: PeerAddress | undefined): void {
     if (address !== undefined && this.has(address)) {
       this.answered.set(keyOf(address), true);
     }
   }
 
-  /** Ends a dial; `failed` when nothing has answered it, undefined when it is not under way. */
+  /** Ends a dial. Returns `failed` if it was not answered, undefined if it was not pending. */
   conclude(target: PeerAddress): 'answered' | 'failed' | undefined {
     const answered = this.answered.get(keyOf(target));
     this.answered.delete(keyOf(target));
--- a/src/transport/handshake-codec.ts
+++ b/src/transport/handshake-codec.ts
@@ -1,14 +1,14 @@
-/** Frames of the handshake. They share the frame format of the peer protocol, with types 12 to 15. */
+/** Frames of the handshake. They use the frame format of the peer protocol, with types 12 to 15. */
 import type { PeerIdentity } from '../membership/peer-identity.js';
 import { decodeWhole, encodeFrame } from '../wire/codec.js';
 import { fixedBytes, oneOf, PlainStruct } from '../wire/field-types.js';
 import { FrameError } from '../wire/frame-error.js';
 import { decodeHead, HEAD_BYTES } from '../wire/frame-head.js';
 import { peerIdentityLayout } from '../wire/message-layouts.js';
-import { TOLD_REFUSAL_REASONS, type ToldRefusalReason } from './handshake-error.js';
+import { WIRE_REFUSAL_REASONS, type WireRefusalReason } from './handshake-error.js';
 import { NONCE_BYTES, PROOF_BYTES } from './handshake-proof.js';
 
-/** Longest body of a handshake frame: a proof with an identity of the longest texts. */
+/** Maximum size of the body of a handshake frame: a proof whose identity has texts of maximum length. */
 export const MAX_HANDSHAKE_FRAME_BYTES = 1_280;
 
 /** The dialer's first frame. */
@@ -17,23 +17,23 @@
   readonly nonce: Buffer;
 }
 
-/** The acceptor's answer to `hello`. */
+/** The acceptor's reply to `hello`. */
 export interface ChallengeFrame {
   readonly type: 'challenge';
   readonly nonce: Buffer;
 }
 
-/** Who the sender is, with the proof that it holds the fleet key; the acceptor's ends the handshake. */
+/** The sender's identity and the proof that it holds the fleet key. The acceptor's proof ends the handshake. */
 export interface ProofFrame {
   readonly type: 'proof';
   readonly identity: PeerIdentity;
   readonly proof: Buffer;
 }
 
-/** The acceptor will not have this link. */
+/** The acceptor refuses the link. */
 export interface RefusalFrame {
   readonly type: 'refusal';
-  readonly reason: ToldRefusalReason;
+  readonly reason: WireRefusalReason;
 }
 
 export type HandshakeFrame = HelloFrame | ChallengeFrame | ProofFrame | RefusalFrame;
@@ -46,10 +46,10 @@
   proof: fixedBytes(PROOF_BYTES),
 });
 const refusalLayout = new PlainStruct<Omit<RefusalFrame, 'type'>>({
-  reason: oneOf(TOLD_REFUSAL_REASONS),
+  reason: oneOf(WIRE_REFUSAL_REASONS),
 });
 
-/** The whole frame, with its length. */
+/** Encodes a frame including its length prefix. */
 export function encodeHandshakeFrame(frame: HandshakeFrame): Buffer {
   switch (frame.type) {
     case 'hello':
@@ -62,7 +62,7 @@
   }
 }
 
-/** The frame in a body. Throws {@link FrameError}. */
+/** Decodes the body of a frame. Throws {@link FrameError}. */
 export function decodeHandshakeFrame(body: Uint8Array): HandshakeFrame {
   const { typeNumber, compressed } = decodeHead(body);
   const payload = body.subarray(HEAD_BYTES);
--- a/src/transport/handshake-error.ts
+++ b/src/transport/handshake-error.ts
@@ -1,7 +1,7 @@
 /** Why a handshake ended without a link. */
 
-/** Reasons that one side tells the other, in their positions on the wire; append only. */
-export const TOLD_REFUSAL_REASONS = [
+/** Reasons that are sent to the dialer, in their positions on the wire; append only. */
+export const WIRE_REFUSAL_REASONS = [
   'malformed',
   'wrong-version',
   'wrong-key',
@@ -11,24 +11,24 @@
   'too-many-links',
 ] as const;
 
-/** A reason that is told to the other side. */
-export type ToldRefusalReason = (typeof TOLD_REFUSAL_REASONS)[number];
+/** A reason that is sent to the dialer. */
+export type WireRefusalReason = (typeof WIRE_REFUSAL_REASONS)[number];
 
 /**
- * - `malformed`: a frame that may not come here, is too long, or has a wrong layout.
- * - `wrong-version`: another version of the protocol.
- * - `wrong-key`: the proof does not show the fleet key, or was made for another handshake.
+ * - `malformed`: a frame that is not allowed at this point, is too long, or has a wrong layout.
+ * - `wrong-version`: the peer uses another version of the protocol.
+ * - `wrong-key`: the proof was made with another key or for another handshake.
  * - `self`: the peer has this node's own identity.
- * - `duplicate`: the link that both sides keep is another one.
- * - `stale-incarnation`: the peer has restarted since; this is its earlier process.
- * - `too-many-links`: the bound on accepted links.
- * - `evicted`: made room for a newer connection, at the bound on unproven ones.
- * - `timeout`: not done within the time limit.
+ * - `duplicate`: both sides keep another link.
+ * - `stale-incarnation`: the peer has restarted since; the link belongs to its earlier process.
+ * - `too-many-links`: the limit on accepted links is reached.
+ * - `evicted`: closed in favour of a newer connection, at the limit on unproven connections.
+ * - `timeout`: not completed within the time limit.
  * - `closed`: the connection failed or was closed by the other side.
- * - `tls`: TLS refused the certificate or failed.
+ * - `tls`: the certificate was refused, or the TLS handshake failed.
  */
 export const REFUSAL_REASONS = [
-  ...TOLD_REFUSAL_REASONS,
+  ...WIRE_REFUSAL_REASONS,
   'evicted',
   'timeout',
   'closed',
@@ -38,9 +38,9 @@
 /** Why a handshake ended without a link; see {@link REFUSAL_REASONS}. */
 export type RefusalReason = (typeof REFUSAL_REASONS)[number];
 
-/** Whether a refusal for this reason is told to the dialer. */
-export function isTold(reason: RefusalReason): reason is ToldRefusalReason {
-  return (TOLD_REFUSAL_REASONS as readonly string[]).includes(reason);
+/** Whether a refusal for this reason is sent to the dialer. */
+export function isSentToPeer(reason: RefusalReason): reason is WireRefusalReason {
+  return (WIRE_REFUSAL_REASONS as readonly string[]).includes(reason);
 }
 
 /** A handshake that failed. */
@@ -49,7 +49,7 @@
 
   constructor(
     readonly code: RefusalReason,
-    /** Whether the other side refused, rather than this one. */
+    /** Whether the peer refused the handshake, rather than this side. */
     readonly byPeer: boolean = false,
     options?: ErrorOptions,
   ) {
--- a/src/transport/handshake-proof.ts
+++ b/src/transport/handshake-proof.ts
@@ -1,28 +1,28 @@
 /**
- * Cryptography of the handshake, from `node:crypto` alone. The fleet key never crosses the wire; a
- * proof is bound to the role, both nonces, the identity and, on TLS, the TLS session.
+ * Cryptography of the handshake, using only `node:crypto`. The fleet key is never sent over the wire. A
+ * proof is bound to the role, both nonces, the identity and, with TLS, the TLS session.
  */
 import { createHmac, hkdfSync, timingSafeEqual } from 'node:crypto';
 import type { PeerIdentity } from '../membership/peer-identity.js';
 import { encodeFrame } from '../wire/codec.js';
 import { peerIdentityLayout } from '../wire/message-layouts.js';
 
-/** Bytes of each side's nonce. */
+/** Size of each side's nonce, in bytes. */
 export const NONCE_BYTES = 16;
-/** Bytes of a proof (HMAC-SHA256). */
+/** Size of a proof, in bytes (HMAC-SHA256). */
 export const PROOF_BYTES = 32;
-/** Bytes of a session key (AES-256). */
+/** Size of a session key, in bytes (AES-256). */
 export const SESSION_KEY_BYTES = 32;
-/** Bytes of the vector that each frame's nonce is made from (AES-GCM). */
+/** Size of the vector from which each frame's nonce is derived, in bytes (AES-GCM). */
 export const SESSION_VECTOR_BYTES = 12;
 
 const PROOF_LABEL = 'ferryspool peer proof 1';
 const SESSION_LABEL = 'ferryspool peer session 1';
 
-/** Which side opened the connection. */
+/** A side of a link; the dialer is the one that opened the connection. */
 export type LinkRole = 'dialer' | 'acceptor';
 
-/** What both proofs of one handshake are bound to. */
+/** Values to which both proofs of a handshake are bound. */
 export interface HandshakeContext {
   readonly dialerNonce: Buffer;
   readonly acceptorNonce: Buffer;
@@ -39,7 +39,7 @@
 /** Keys of a link, by the side that sends. */
 export type SessionKeys = Readonly<Record<LinkRole, DirectionKeys>>;
 
-/** The proof of the side `role`, which says that it is `identity`. */
+/** Creates the proof of the side `role`, which claims to be `identity`. */
 export function makeProof(
   fleetKey: string,
   role: LinkRole,
@@ -55,12 +55,12 @@
     .digest();
 }
 
-/** Whether two proofs are equal, in constant time. */
+/** Compares two proofs in constant time. */
 export function proofsEqual(left: Buffer, right: Buffer): boolean {
   return left.length === right.length && timingSafeEqual(left, right);
 }
 
-/** Keys for the frames that follow the handshake; fresh, since both nonces are. */
+/** Derives the keys for the frames after the handshake. They are unique because both nonces are. */
 export function deriveSessionKeys(fleetKey: string, context: HandshakeContext): SessionKeys {
   const directionBytes = SESSION_KEY_BYTES + SESSION_VECTOR_BYTES;
   const salt = Buffer.concat([context.dialerNonce, context.acceptorNonce]);
--- a/src/transport/handshake.ts
+++ b/src/transport/handshake.ts
@@ -1,13 +1,13 @@
 /**
- * The handshake of a link, without I/O:
+ * The handshake of a link, without I/O.
  *
  *     dialer   -> acceptor   hello(dialer's nonce)
  *     acceptor -> dialer     challenge(acceptor's nonce)
  *     dialer   -> acceptor   proof(dialer's identity)
  *     acceptor -> dialer     proof(acceptor's identity), or refusal(reason)
  *
- * The dialer proves first, so that who merely connects learns nothing. Proofs of the two roles
- * differ (no reflection) and cover a fresh nonce of the other side (no replay).
+ * The dialer proves itself first, so that an unauthenticated client learns nothing. Proofs of the two
+ * roles differ, which prevents reflection, and cover a fresh nonce of the other side, which prevents replay.
  */
 import type { PeerIdentity } from '../membership/peer-identity.js';
 import { FrameError } from '../wire/frame-error.js';
@@ -27,23 +27,23 @@
   type SessionKeys,
 } from './handshake-proof.js';
 
-/** What one side brings to a handshake. */
+/** Parameters of one side of a handshake. */
 export interface HandshakeParameters {
   readonly role: LinkRole;
   readonly fleetKey: string;
   readonly identity: PeerIdentity;
-  /** Random, never used before, of `NONCE_BYTES`. */
+  /** `NONCE_BYTES` random bytes, never used before. */
   readonly nonce: Buffer;
   /** See {@link HandshakeContext}. */
   readonly channelBinding: Buffer;
 }
 
-/** What comes of a frame: a frame to send back, or the proved peer. */
+/** Result of a received frame: a frame to send back, or the authenticated peer. */
 export type HandshakeStep =
   | { readonly type: 'reply'; readonly frame: Buffer }
   /**
-   * The peer proved itself. A dialer's link is open; an acceptor still sends its own proof
-   * ({@link Handshake.ownProof}) or a refusal.
+   * The peer proved its identity. A dialer's link is open now; an acceptor still has to send its own
+   * proof ({@link Handshake.ownProof}) or a refusal.
    */
   | { readonly type: 'proved'; readonly peer: PeerIdentity; readonly keys: SessionKeys };
 
@@ -59,7 +59,7 @@
     return encodeHandshakeFrame({ type: 'hello', nonce: this.parameters.nonce });
   }
 
-  /** Takes the body of a frame. Throws {@link HandshakeError}; nothing may be received after that. */
+  /** Handles the body of a frame. Throws {@link HandshakeError}; must not be called again after that. */
   receive(body: Uint8Array): HandshakeStep {
     const frame = decode(body);
     if (frame.type === 'refusal' && this.parameters.role === 'dialer') {
@@ -70,13 +70,13 @@
       return this.verify(frame, this.context);
     }
     if (frame.type === this.firstFrameType() && this.context === undefined) {
-      this.context = this.contextWith(frame.nonce);
-      return { type: 'reply', frame: this.answerToNonce() };
+      this.context = this.contextFor(frame.nonce);
+      return { type: 'reply', frame: this.replyToNonce() };
     }
     throw new HandshakeError('malformed');
   }
 
-  /** This side's proof; to be called once both nonces are known. */
+  /** This side's proof. Call it only once both nonces are known. */
   ownProof(): Buffer {
     const { fleetKey, role, identity } = this.parameters;
     if (this.context === undefined) {
@@ -90,12 +90,12 @@
     return this.parameters.role === 'dialer' ? 'challenge' : 'hello';
   }
 
-  private answerToNonce(): Buffer {
+  private replyToNonce(): Buffer {
     const { role, nonce } = this.parameters;
     return role === 'dialer' ? this.ownProof() : encodeHandshakeFrame({ type: 'challenge', nonce });
   }
 
-  private contextWith(peerNonce: Buffer): HandshakeContext {
+  private contextFor(peerNonce: Buffer): HandshakeContext {
     const { role, nonce, channelBinding } = this.parameters;
     return role === 'dialer'
       ? { dialerNonce: nonce, acceptorNonce: peerNonce, channelBinding }
--- a/src/transport/link-preference.ts
+++ b/src/transport/link-preference.ts
@@ -1,27 +1,27 @@
 /**
- * Which of two links between the same pair of nodes is kept. Both ends come to the same choice from
- * what both know, in whatever order each of them sees the two links open.
+ * Chooses which of two links between the same pair of nodes is kept. Both ends make the same choice from
+ * shared knowledge, in whatever order each of them sees the two links open.
  */
 import type { LinkRole } from './handshake-proof.js';
 
-/** What the choice depends on. */
-export interface LinkFacts {
+/** Attributes of a link that determine the choice. */
+export interface LinkAttributes {
   readonly peerIncarnation: number;
   /** This node's side of the link. */
   readonly role: LinkRole;
 }
 
-/** What becomes of the candidate; `replace` closes the held link. */
+/** Decision on the candidate: `replace` closes the held link, the others are the reason for a refusal. */
 export type LinkChoice = 'replace' | 'duplicate' | 'stale-incarnation';
 
 /**
- * The peer's newer incarnation wins. Within one incarnation a link dialled the same way again
- * replaces the held one, since a dialer that still had it would not dial; of two links dialled
- * towards each other the one from the lower identity stays.
+ * The peer's newer incarnation is preferred. Within one incarnation, a second link from the same dialer
+ * replaces the held one, since a dialer that still had that link would not dial. Of two links dialled in
+ * opposite directions, the one from the node with the lower identity is kept.
  */
 export function chooseLink(
-  held: LinkFacts,
-  candidate: LinkFacts,
+  held: LinkAttributes,
+  candidate: LinkAttributes,
   ownId: string,
   peerId: string,
 ): LinkChoice {
--- a/src/transport/link-protection.ts
+++ b/src/transport/link-protection.ts
@@ -1,35 +1,36 @@
 /**
- * Protection of the frames after the handshake. On a link without TLS every body is sealed by
- * AES-256-GCM under the session key, with a tag of eight bytes and the frame's number in the nonce:
- * who sits on the path can neither read, change, inject, repeat nor reorder frames. A single failure
- * closes the link, so that a tag can be guessed at once per link only. TLS does this itself.
+ * Protection of the frames after the handshake. On a link without TLS, every body is sealed with
+ * AES-256-GCM under the session key, with a tag of eight bytes and the frame's sequence number in the
+ * nonce. An attacker on the network path can't read, modify, inject, replay or reorder frames. A single
+ * failure closes the link, which allows only one guess of a tag per link. TLS provides this protection
+ * itself.
  */
 import { createCipheriv, createDecipheriv } from 'node:crypto';
 import { FrameError } from '../wire/frame-error.js';
 import { LENGTH_PREFIX_BYTES } from '../wire/frame-reader.js';
 import { SESSION_VECTOR_BYTES, type DirectionKeys } from './handshake-proof.js';
 
-/** Bytes that sealing adds to each frame. */
+/** Size of the authentication tag that sealing adds to each frame, in bytes. */
 export const TAG_BYTES = 8;
 
 const CIPHER = 'aes-256-gcm';
 const SEQUENCE_OFFSET = SESSION_VECTOR_BYTES - 8;
 
-/** Seals what one side sends and opens what it receives. */
+/** Seals outgoing frames and opens incoming ones. */
 export interface LinkProtection {
-  /** The frame as it goes on the wire; takes a whole frame with its length. */
+  /** Seals a complete frame including its length prefix. */
   seal(frame: Buffer): Buffer;
-  /** The body as it was before sealing. Throws {@link FrameError} `forged`. */
+  /** Returns the body as it was before sealing. Throws {@link FrameError} `forged`. */
   open(body: Buffer): Buffer;
 }
 
-/** For links on TLS: frames go as they are. */
+/** For links over TLS: frames are not changed. */
 export const PROTECTED_BY_TLS: LinkProtection = {
   seal: (frame) => frame,
   open: (body) => body,
 };
 
-/** Protection by session keys. */
+/** Protection with session keys. */
 export class SealedLink implements LinkProtection {
   private sent = 0n;
   private received = 0n;
@@ -70,7 +71,7 @@
   }
 }
 
-/** The vector with the frame's number added without carry, as in TLS 1.3. */
+/** The vector XORed with the frame's sequence number, as in TLS 1.3. */
 function frameNonce(vector: Buffer, sequence: bigint): Buffer {
   const nonce = Buffer.from(vector);
   const low = nonce.readBigUInt64BE(SEQUENCE_OFFSET);
--- a/src/transport/link-sockets.ts
+++ b/src/transport/link-sockets.ts
@@ -1,4 +1,4 @@
-/** Sockets for links: plain TCP, or mutual TLS where there are certificates. */
+/** Sockets for links: plain TCP, or mutual TLS if certificates are configured. */
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 import {
   connect as connectTls,
@@ -15,20 +15,20 @@
 const BINDING_LABEL = 'EXPORTER-ferryspool-peer';
 const NO_BINDING = Buffer.alloc(0);
 
-/** What a listener needs. */
+/** Options of a {@link SocketListener}. */
 export interface SocketListenerOptions {
   readonly tls: TransportTls | undefined;
-  /** Connections at most, those within a TLS handshake included. */
+  /** Maximum number of connections, including those in a TLS handshake. */
   readonly maxConnections: number;
-  /** Time for a TLS handshake, in milliseconds. */
+  /** Timeout of a TLS handshake. */
   readonly handshakeTimeoutMs: number;
-  /** Gets each connection once TLS, if any, is done. */
+  /** Called with each connection, after its TLS handshake if TLS is used. */
   readonly onSocket: (socket: Socket) => void;
-  /** TLS refused a connection, or failed on it. */
+  /** Called when a TLS handshake was refused or has failed. */
   readonly onTlsFailure: () => void;
 }
 
-/** Accepts connections, and knows those whose TLS handshake is still going on. */
+/** Accepts connections and tracks them, including those whose TLS handshake is still in progress. */
 export class SocketListener {
   private readonly server: Server;
   private readonly connections = new Set<Socket>();
@@ -44,20 +44,20 @@
     });
   }
 
-  /** Listens and gives the port; rejects when the address can not be had. */
+  /** Listens and resolves with the port; rejects if the address can't be bound. */
   listen(address: string, port: number): Promise<number> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject);
       this.server.listen(port, address, () => {
         this.server.off('error', reject);
-        // A failure to accept, such as no free file descriptor, must not end the process.
+        // An accept failure, such as a lack of file descriptors, must not crash the process.
         this.server.on('error', () => undefined);
         resolve((this.server.address() as AddressInfo).port);
       });
     });
   }
 
-  /** Accepts no more connections; those that are there stay. */
+  /** Stops accepting connections; existing ones stay open. */
   close(): void {
     this.closed = new Promise((resolve) => {
       this.server.close(() => {
@@ -66,7 +66,7 @@
     });
   }
 
-  /** Closes the connections that are left, after {@link close}. */
+  /** Closes the remaining connections. Call it after {@link close}. */
   async destroyConnections(): Promise<void> {
     this.connections.forEach((socket) => socket.destroy());
     await this.closed;
@@ -83,14 +83,14 @@
   });
   server.on('secureConnection', options.onSocket);
   server.on('tlsClientError', (_error: Error, socket: TLSSocket) => {
-    // The server leaves a socket open whose handshake ran out of time.
+    // The server does not close a socket whose handshake has timed out.
     socket.destroy();
     options.onTlsFailure();
   });
   return server;
 }
 
-/** Opens outgoing sockets; certificates are parsed once. */
+/** Opens outgoing sockets. Certificates are parsed only once. */
 export class SocketDialer {
   private readonly secureContext: SecureContext | undefined;
 
@@ -98,7 +98,7 @@
     this.secureContext = tls === undefined ? undefined : createSecureContext(pemOptions(tls));
   }
 
-  /** A socket on its way; `onReady` is called when it is connected and TLS, if any, is done. */
+  /** Returns a connecting socket. `onReady` is called once it is connected and any TLS handshake is done. */
   open(target: PeerAddress, onReady: () => void): Socket {
     const address = { host: target.address, port: target.controlPort };
     if (this.secureContext === undefined) {
@@ -109,14 +109,14 @@
       secureContext: this.secureContext,
       minVersion: TLS_VERSION,
       rejectUnauthorized: true,
-      // Certificates name no address: a peer is known by its proof of the fleet key.
+      // Certificates contain no address; the peer is authenticated by its proof of the fleet key.
       checkServerIdentity: () => undefined,
     } as const;
     return connectTls(options, onReady);
   }
 }
 
-/** Key material that only the two ends of this TLS session share; empty without TLS. */
+/** Key material shared only by the two ends of this TLS session; empty without TLS. */
 export function channelBindingOf(socket: Socket): Buffer {
   return socket instanceof TLSSocket
     ? socket.exportKeyingMaterial(BINDING_BYTES, BINDING_LABEL, NO_BINDING)
--- a/src/transport/link-table.ts
+++ b/src/transport/link-table.ts
@@ -1,14 +1,14 @@
-/** Open links, at most one to each peer. */
+/** Open links, at most one per peer. */
 import type { PeerIdentity } from '../membership/peer-identity.js';
-import type { ToldRefusalReason } from './handshake-error.js';
+import type { WireRefusalReason } from './handshake-error.js';
 import { chooseLink } from './link-preference.js';
 import type { PeerLink } from './peer-link.js';
 
-/** The links that messages travel on, by the peer's identity. */
+/** The links that carry messages, by the peer's identity. */
 export class LinkTable {
   private readonly links = new Map<string, PeerLink>();
 
-  /** `maxInboundLinks` bounds the accepted links. */
+  /** `maxInboundLinks` limits the accepted links. */
   constructor(private readonly maxInboundLinks: number) {}
 
   get(peerId: string): PeerLink | undefined {
@@ -19,7 +19,7 @@
     this.links.set(peerId, link);
   }
 
-  /** Takes out `link`; false when the peer has another link, or none. */
+  /** Removes `link`; false if the peer has another link or none. */
   remove(peerId: string, link: PeerLink): boolean {
     return this.links.get(peerId) === link && this.links.delete(peerId);
   }
@@ -28,11 +28,11 @@
     return [...this.links.values()];
   }
 
-  /** Why a link to `peer`, which proved itself, is not wanted; undefined when it is. */
-  refusalOf(link: PeerLink, peer: PeerIdentity, ownId: string): ToldRefusalReason | undefined {
+  /** Returns the reason to refuse a link to the authenticated `peer`, or undefined if it is accepted. */
+  refusalOf(link: PeerLink, peer: PeerIdentity, ownId: string): WireRefusalReason | undefined {
     const held = this.links.get(peer.id);
     if (held?.peer === undefined || !held.isUsable) {
-      return this.hasRoomFor(link) ? undefined : 'too-many-links';
+      return this.hasCapacityFor(link) ? undefined : 'too-many-links';
     }
     const choice = chooseLink(
       { peerIncarnation: held.peer.incarnation, role: held.role },
@@ -43,8 +43,8 @@
     return choice === 'replace' ? undefined : choice;
   }
 
-  private hasRoomFor(link: PeerLink): boolean {
-    const inbound = this.all().filter((one) => one.role === 'acceptor').length;
+  private hasCapacityFor(link: PeerLink): boolean {
+    const inbound = this.all().filter((other) => other.role === 'acceptor').length;
     return link.role === 'dialer' || inbound < this.maxInboundLinks;
   }
 }
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -1,4 +1,4 @@
-/** One link on its way from a connection to a proved peer: handshake first, then messages. */
+/** One link to a peer: performs the handshake on a connection, then exchanges messages. */
 import type { Socket } from 'node:net';
 import type { CounterSink } from '../control/control-event.js';
 import type { PeerAddress, PeerIdentity } from '../membership/peer-identity.js';
@@ -9,38 +9,38 @@
 import { Connection, type ConnectionListener } from './connection.js';
 import { Handshake, type HandshakeParameters, type HandshakeStep } from './handshake.js';
 import { encodeHandshakeFrame, MAX_HANDSHAKE_FRAME_BYTES } from './handshake-codec.js';
-import { HandshakeError, type ToldRefusalReason } from './handshake-error.js';
+import { HandshakeError, type WireRefusalReason } from './handshake-error.js';
 import type { LinkRole } from './handshake-proof.js';
 import { PROTECTED_BY_TLS, SealedLink, TAG_BYTES, type LinkProtection } from './link-protection.js';
 import { countMessage, TRANSPORT_COUNTERS } from './transport-counters.js';
 
-/** What a link tells its owner; always from the socket's events. */
+/** Callbacks of a link, always called from the socket's events. */
 export interface LinkOwner {
-  /** The peer proved itself; the owner opens the link, or refuses it. */
+  /** The peer proved its identity; the owner opens or refuses the link. */
   onProved(link: PeerLink, peer: PeerIdentity): void;
   onHandshakeFailed(link: PeerLink, error: HandshakeError): void;
   onMessage(link: PeerLink, peer: PeerIdentity, message: PeerMessage): void;
-  /** A frame on an open link was refused; the owner closes the link. */
+  /** A frame on an open link was refused; the owner must close the link. */
   onFrameRefused(link: PeerLink, error: FrameError): void;
-  /** The connection is gone. */
+  /** The connection has closed. */
   onLinkClosed(link: PeerLink): void;
 }
 
-/** How a link starts. */
-export interface LinkStart {
+/** Options of a {@link PeerLink}. */
+export interface LinkOptions {
   readonly role: LinkRole;
-  /** What was dialled; undefined on the accepting side. */
+  /** The dialled address; undefined on the accepting side. */
   readonly target: PeerAddress | undefined;
   readonly owner: LinkOwner;
   readonly counters: CounterSink;
-  /** Whether TLS protects the connection, so that frames need no seal. */
-  readonly onTls: boolean;
+  /** Whether TLS protects the connection, so that frames are not sealed. */
+  readonly usesTls: boolean;
 }
 
-/** A link; `closed` also when only its closing is still going on. */
+/** A link. Its phase is `closed` also while the connection is still closing. */
 export class PeerLink implements ConnectionListener {
   phase: 'handshaking' | 'open' | 'closed' = 'handshaking';
-  /** The proved peer, once there is one. */
+  /** The peer, once it has proved its identity. */
   peer: PeerIdentity | undefined;
   private readonly connection: Connection;
   private handshake: Handshake | undefined;
@@ -48,17 +48,17 @@
 
   constructor(
     socket: Socket,
-    private readonly start: LinkStart,
+    private readonly options: LinkOptions,
   ) {
     this.connection = new Connection(socket, MAX_HANDSHAKE_FRAME_BYTES, this);
   }
 
   get role(): LinkRole {
-    return this.start.role;
+    return this.options.role;
   }
 
   get target(): PeerAddress | undefined {
-    return this.start.target;
+    return this.options.target;
   }
 
   /** Whether messages can be sent. */
@@ -66,7 +66,7 @@
     return this.phase === 'open' && this.connection.isOpen;
   }
 
-  /** Starts the handshake; to be called when the connection is ready. */
+  /** Starts the handshake. Call it when the connection is ready. */
   begin(parameters: HandshakeParameters): void {
     this.handshake = new Handshake(parameters);
     if (this.role === 'dialer') {
@@ -74,26 +74,26 @@
     }
   }
 
-  /** Takes the proved peer's link into use. */
+  /** Opens the link to a peer that has proved its identity. */
   open(): void {
     if (this.role === 'acceptor' && this.handshake !== undefined) {
       this.writeHandshake(this.handshake.ownProof());
     }
     this.handshake = undefined;
     this.phase = 'open';
-    this.connection.allowFrames(MAX_FRAME_BYTES + TAG_BYTES);
+    this.connection.setMaxFrameBytes(MAX_FRAME_BYTES + TAG_BYTES);
   }
 
-  /** Tells the dialer why there will be no link, and closes. */
-  refuse(reason: ToldRefusalReason): void {
+  /** Sends the reason for the refusal to the dialer and closes the link. */
+  refuse(reason: WireRefusalReason): void {
     this.phase = 'closed';
     this.writeHandshake(encodeHandshakeFrame({ type: 'refusal', reason }));
     this.connection.destroySoon();
   }
 
   /**
-   * Sends a message unless more than `maxBufferedBytes` would wait. Throws {@link FrameError} when
-   * no frame can hold it.
+   * Sends a message unless more than `maxBufferedBytes` would be buffered. Throws {@link FrameError} if
+   * the message does not fit into a frame.
    */
   send(message: PeerMessage, maxBufferedBytes: number): boolean {
     const plain = encodeMessage(message);
@@ -102,23 +102,23 @@
     }
     const frame = this.protection.seal(plain);
     this.connection.write(frame);
-    countMessage(this.start.counters, 'sent', message.type, frame.length);
+    countMessage(this.options.counters, 'sent', message.type, frame.length);
     return true;
   }
 
-  /** Closes once what was written has left and the peer has closed too. */
+  /** Closes once all written frames are sent and the peer has closed too. */
   end(): void {
     this.phase = 'closed';
     this.connection.end();
   }
 
-  /** Closes as soon as the system has taken what was written. */
+  /** Closes as soon as the kernel has accepted all written frames. */
   destroySoon(): void {
     this.phase = 'closed';
     this.connection.destroySoon();
   }
 
-  /** Closes the connection at once; the phase stays until the owner has heard of it. */
+  /** Closes the connection at once; the phase is unchanged until the owner handles the close. */
   destroy(): void {
     this.connection.destroy();
   }
@@ -126,26 +126,26 @@
   onFrame(body: Buffer): void {
     const bytes = body.length + LENGTH_PREFIX_BYTES;
     if (this.phase === 'handshaking') {
-      this.start.counters.add(TRANSPORT_COUNTERS.handshakeReceivedBytes, bytes);
+      this.options.counters.add(TRANSPORT_COUNTERS.handshakeReceivedBytes, bytes);
       this.continueHandshake(body);
     } else if (this.phase === 'open' && this.peer !== undefined) {
       const message = decodeMessage(this.protection.open(body));
-      countMessage(this.start.counters, 'received', message.type, bytes);
-      this.start.owner.onMessage(this, this.peer, message);
+      countMessage(this.options.counters, 'received', message.type, bytes);
+      this.options.owner.onMessage(this, this.peer, message);
     }
   }
 
   onFrameError(error: FrameError): void {
     if (this.phase === 'handshaking') {
       const code = error.code === 'truncated' ? 'closed' : 'malformed';
-      this.start.owner.onHandshakeFailed(this, new HandshakeError(code, false, { cause: error }));
+      this.options.owner.onHandshakeFailed(this, new HandshakeError(code, false, { cause: error }));
     } else {
-      this.start.owner.onFrameRefused(this, error);
+      this.options.owner.onFrameRefused(this, error);
     }
   }
 
   onClose(): void {
-    this.start.owner.onLinkClosed(this);
+    this.options.owner.onLinkClosed(this);
   }
 
   private continueHandshake(body: Buffer): void {
@@ -156,20 +156,20 @@
       if (!(error instanceof HandshakeError)) {
         throw error;
       }
-      this.start.owner.onHandshakeFailed(this, error);
+      this.options.owner.onHandshakeFailed(this, error);
       return;
     }
     if (step?.type === 'reply') {
       this.writeHandshake(step.frame);
     } else if (step !== undefined) {
-      this.takeProof(step);
+      this.handleProof(step);
     }
   }
 
-  private takeProof(step: Extract<HandshakeStep, { type: 'proved' }>): void {
-    const { role, onTls, owner } = this.start;
+  private handleProof(step: Extract<HandshakeStep, { type: 'proved' }>): void {
+    const { role, usesTls: usesTls, owner } = this.options;
     this.peer = step.peer;
-    if (!onTls) {
+    if (!usesTls) {
       const peerRole: LinkRole = role === 'dialer' ? 'acceptor' : 'dialer';
       this.protection = new SealedLink(step.keys[role], step.keys[peerRole]);
     }
@@ -177,7 +177,7 @@
   }
 
   private writeHandshake(frame: Buffer): void {
-    this.start.counters.add(TRANSPORT_COUNTERS.handshakeSentBytes, frame.length);
+    this.options.counters.add(TRANSPORT_COUNTERS.handshakeSentBytes, frame.length);
     this.connection.write(frame);
   }
 }
--- a/src/transport/peer-transport.ts
+++ b/src/transport/peer-transport.ts
@@ -1,7 +1,7 @@
 /**
- * Links to peers over TCP or TLS: at most one to each peer, each proved by the handshake before a
- * message passes. Events come as plain calls in the order of what happened; the runtime puts them
- * into its channel.
+ * Links to peers over TCP or TLS, at most one per peer. Each link is authenticated by the handshake before
+ * it carries messages. Events are delivered as plain calls in the order in which they occurred; the runtime
+ * forwards them to its channel.
  */
 import { randomBytes } from 'node:crypto';
 import type { Socket } from 'node:net';
@@ -10,7 +10,7 @@
 import type { PeerMessage } from '../wire/message.js';
 import { DeadlineQueue } from './deadline-queue.js';
 import { DialTable, isDialable, isSameAddress } from './dial-table.js';
-import { HandshakeError, isTold } from './handshake-error.js';
+import { HandshakeError, isSentToPeer } from './handshake-error.js';
 import { NONCE_BYTES } from './handshake-proof.js';
 import { channelBindingOf, SocketDialer, SocketListener } from './link-sockets.js';
 import { LinkTable } from './link-table.js';
@@ -31,12 +31,14 @@
 } from './transport-options.js';
 
 /**
- * Listens, and gives the transport once its port is known. Rejects with the system's error when the
- * address can not be had, and with {@link TransportOptionsError} for a short fleet key.
+ * Starts listening and resolves with the transport once its port is known. Rejects with the system's error
+ * if the address can't be bound, and with {@link TransportOptionsError} if the fleet key is too short.
  */
 export async function createPeerTransport(options: TransportOptions): Promise<PeerTransport> {
   if (options.fleetKey.length < MIN_FLEET_KEY_LENGTH) {
-    throw new TransportOptionsError(`fleet key: at least ${MIN_FLEET_KEY_LENGTH} characters`);
+    throw new TransportOptionsError(
+      `fleet key must have at least ${MIN_FLEET_KEY_LENGTH} characters`,
+    );
   }
   const transport = new SocketTransport(options);
   await transport.start();
@@ -50,11 +52,11 @@
   private readonly listener: SocketListener;
   private readonly dialer: SocketDialer;
   private readonly links: LinkTable;
-  /** Every link whose socket is not closed yet. */
+  /** All links whose sockets have not closed yet. */
   private readonly sockets = new Set<PeerLink>();
   private readonly unproven = new Set<PeerLink>();
   private readonly dials = new DialTable();
-  /** Links that are proving themselves, or closing. */
+  /** Links in the handshake, or closing. */
   private readonly deadlines: DeadlineQueue<PeerLink>;
   private stopped = false;
   private onAllClosed: () => void = () => undefined;
@@ -113,12 +115,12 @@
       return false;
     }
     try {
-      const taken = link.send(message, this.limits.maxBufferedBytes);
-      if (!taken) {
+      const accepted = link.send(message, this.limits.maxBufferedBytes);
+      if (!accepted) {
         this.options.counters.add(TRANSPORT_COUNTERS.linksSlow);
         link.destroy();
       }
-      return taken;
+      return accepted;
     } catch (error) {
       if (!(error instanceof FrameError)) {
         throw error;
@@ -131,7 +133,7 @@
   hangUp(peerId: string): void {
     const link = this.links.get(peerId);
     if (link !== undefined) {
-      this.forget(link, peerId);
+      this.removeLink(link, peerId);
       link.destroySoon();
       this.deadlines.add(link);
     }
@@ -169,7 +171,7 @@
     const held = this.links.get(peer.id);
     if (held !== undefined) {
       this.options.counters.add(TRANSPORT_COUNTERS.linksReplaced);
-      this.loseLink(held);
+      this.dropLink(held);
       held.destroySoon();
       this.deadlines.add(held);
     }
@@ -178,8 +180,8 @@
     this.links.set(peer.id, link);
     link.open();
     this.options.counters.add(TRANSPORT_COUNTERS.linksOpened);
-    this.dials.answer(peer);
-    this.dials.answer(link.target);
+    this.dials.markAnswered(peer);
+    this.dials.markAnswered(link.target);
     this.emit({ type: 'peer-up', peer });
     this.concludeDial(link.target);
   }
@@ -187,7 +189,7 @@
   onHandshakeFailed(link: PeerLink, error: HandshakeError): void {
     this.options.counters.add(refusedHandshakeCounter(error.code));
     this.unproven.delete(link);
-    if (link.role === 'acceptor' && isTold(error.code)) {
+    if (link.role === 'acceptor' && isSentToPeer(error.code)) {
       link.refuse(error.code);
     } else {
       link.phase = 'closed';
@@ -203,7 +205,7 @@
   onFrameRefused(link: PeerLink, error: FrameError): void {
     this.options.counters.add(refusedFrameCounter(error.code));
     link.destroy();
-    this.loseLink(link);
+    this.dropLink(link);
   }
 
   onLinkClosed(link: PeerLink): void {
@@ -212,7 +214,7 @@
     if (link.phase === 'handshaking') {
       this.onHandshakeFailed(link, new HandshakeError('closed'));
     } else if (link.phase === 'open') {
-      this.loseLink(link);
+      this.dropLink(link);
     }
     if (this.sockets.size === 0) {
       this.onAllClosed();
@@ -239,7 +241,7 @@
       target,
       owner: this,
       counters: this.options.counters,
-      onTls: this.options.tls !== undefined,
+      usesTls: this.options.tls !== undefined,
     });
     this.sockets.add(link);
     this.deadlines.add(link);
@@ -264,14 +266,14 @@
     }
   }
 
-  /** Takes an open link out of use and tells of it. */
-  private loseLink(link: PeerLink): void {
-    if (link.peer !== undefined && this.forget(link, link.peer.id)) {
+  /** Removes an open link and emits `peer-down`. */
+  private dropLink(link: PeerLink): void {
+    if (link.peer !== undefined && this.removeLink(link, link.peer.id)) {
       this.emit({ type: 'peer-down', peer: link.peer });
     }
   }
 
-  private forget(link: PeerLink, peerId: string): boolean {
+  private removeLink(link: PeerLink, peerId: string): boolean {
     link.phase = 'closed';
     const removed = this.links.remove(peerId, link);
     if (removed) {
--- a/src/transport/transport-counters.ts
+++ b/src/transport/transport-counters.ts
@@ -1,10 +1,10 @@
-/** Counters of the peer protocol. Bytes are those of frames; TLS, TCP and IP come on top. */
+/** Counters of the peer protocol. Bytes are those of frames, without the overhead of TLS, TCP and IP. */
 import type { CounterSink } from '../control/control-event.js';
 import { FRAME_ERROR_CODES, type FrameErrorCode } from '../wire/frame-error.js';
 import { MESSAGE_TYPES, type PeerMessageType } from '../wire/message-layouts.js';
 import { REFUSAL_REASONS, type RefusalReason } from './handshake-error.js';
 
-/** Names of the counters that have one name only. */
+/** Names of the counters that do not depend on a reason, an error code or a message type. */
 export const TRANSPORT_COUNTERS = {
   linksOpened: 'ferryspool_peer_links_opened_total',
   linksClosed: 'ferryspool_peer_links_closed_total',
@@ -34,7 +34,7 @@
 const DIRECTIONS = ['sent', 'received'] as const;
 type Direction = (typeof DIRECTIONS)[number];
 
-/** Tells `declare` of every counter, so that each can be shown before its first event. */
+/** Calls `declare` for every counter, so that each is exposed before its first event. */
 export function declareTransportCounters(declare: (name: string, help: string) => void): void {
   for (const [key, help] of Object.entries(COUNTER_HELP)) {
     declare(TRANSPORT_COUNTERS[key as keyof typeof TRANSPORT_COUNTERS], help);
--- a/src/transport/transport-options.ts
+++ b/src/transport/transport-options.ts
@@ -1,25 +1,25 @@
-/** What a peer transport is made from. */
+/** Options and interface of the peer transport. */
 import type { ControlEvent, CounterSink } from '../control/control-event.js';
 import type { PeerAddress, PeerIdentity } from '../membership/peer-identity.js';
 
-/** Shortest fleet key, in characters. */
+/** Minimum length of the fleet key, in characters. */
 export const MIN_FLEET_KEY_LENGTH = 16;
 
-/** Bounds of a transport. */
+/** Limits of a transport. */
 export interface TransportLimits {
-  /** Time for connecting and proving, and for a closing link to send its rest, in milliseconds. */
+  /** Time for the connection and the handshake, and for a closing link to send its remaining frames. */
   readonly handshakeTimeoutMs: number;
-  /** Accepted links at most. */
+  /** Maximum number of accepted links. */
   readonly maxInboundLinks: number;
-  /** Accepted connections that have not proved themselves at most; the oldest one gives way. */
+  /** Maximum number of accepted connections that are not authenticated yet; the oldest is evicted. */
   readonly maxUnprovenConnections: number;
-  /** Bytes that may wait to be sent on one link; a peer slower than that is hung up. */
+  /** Maximum number of bytes buffered for one link; the link to a slower peer is closed. */
   readonly maxBufferedBytes: number;
-  /** Time that a stop gives the links to send what was written, in milliseconds. */
+  /** Time for the links to send their remaining frames when the transport stops. */
   readonly stopFlushMs: number;
 }
 
-/** Limits where the options name none. */
+/** Default limits. */
 export const DEFAULT_TRANSPORT_LIMITS: TransportLimits = {
   handshakeTimeoutMs: 5_000,
   maxInboundLinks: 256,
@@ -28,15 +28,15 @@
   stopFlushMs: 1_000,
 };
 
-/** Certificates for mutual TLS, as PEM text. Peers are known by the fleet key, not by their names. */
+/** Certificates for mutual TLS, as PEM text. Peers are authenticated by the fleet key, not by their names. */
 export interface TransportTls {
   readonly certificatePem: string;
   readonly keyPem: string;
-  /** Authority that signed the certificates of all nodes. */
+  /** Certificate of the authority that signed the certificates of all nodes. */
   readonly authorityPem: string;
 }
 
-/** What a transport tells the control plane. */
+/** Events that a transport sends to the control plane. */
 export type TransportEvent = Extract<
   ControlEvent,
   { readonly type: 'peer-up' | 'peer-down' | 'message' | 'dial-failed' }
@@ -44,14 +44,14 @@
 
 /** Options of `createPeerTransport`. */
 export interface TransportOptions {
-  /** Who this node is; a `controlPort` of 0 is replaced by the port that is listened on. */
+  /** Identity of this node; a `controlPort` of 0 is replaced by the listening port. */
   readonly identity: PeerIdentity;
-  /** Secret of the fleet, at least {@link MIN_FLEET_KEY_LENGTH} characters. */
+  /** Shared secret of the fleet, at least {@link MIN_FLEET_KEY_LENGTH} characters. */
   readonly fleetKey: string;
   readonly tls?: TransportTls | undefined;
-  /** IP address and port to listen on; port 0 takes a free one. */
+  /** IP address and port to listen on; port 0 selects a free one. */
   readonly listen: { readonly address: string; readonly port: number };
-  /** Gets events in order, never from within a call of the transport; must not throw. */
+  /** Receives events in order, never from within a call to the transport; must not throw. */
   readonly onEvent: (event: TransportEvent) => void;
   readonly counters: CounterSink;
   readonly limits?: Partial<TransportLimits> | undefined;
@@ -59,23 +59,23 @@
 
 /** Links to peers. */
 export interface PeerTransport {
-  /** The port that is listened on. */
+  /** The listening port. */
   readonly port: number;
   readonly identity: PeerIdentity;
   /**
-   * Opens a link. Answered by `peer-up` of a peer at this address, or else by one `dial-failed`. A
-   * dial of an address that is being dialled is answered together with it.
+   * Opens a link. The result is either `peer-up` for a peer at this address or one `dial-failed`. A dial to
+   * an address with a pending dial shares the result of that dial.
    */
   dial(target: PeerAddress): void;
-  /** Sends on the link to the peer; false when there is none, or when it can not take the message. */
+  /** Sends a message to the peer; false if there is no link or it can't accept the message. */
   send(peerId: string, message: Extract<ControlEvent, { type: 'message' }>['message']): boolean;
-  /** Closes the link to the peer, after what was sent; no `peer-down` follows. */
+  /** Closes the link to the peer once all messages are sent; no `peer-down` follows. */
   hangUp(peerId: string): void;
-  /** Sends what was written, closes everything and tells nothing more. Never rejects. */
+  /** Sends all buffered frames, closes all links and emits no more events. Never rejects. */
   stop(): Promise<void>;
 }
 
-/** The transport can not be made from its options. */
+/** Thrown when the options of a transport are invalid. */
 export class TransportOptionsError extends Error {
   override readonly name = 'TransportOptionsError';
   readonly code = 'bad-transport-options';
--- a/test/peers/closed-exchange.test.ts
+++ b/test/peers/closed-exchange.test.ts
@@ -28,8 +28,8 @@
       ageMs: () => 0,
       awaited: () => [],
       onAge: () => undefined,
-      onLearned: () => undefined,
-      onSilence: () => undefined,
+      onDeltaApplied: () => undefined,
+      onUnresponsive: () => undefined,
     });
     await exchange.open();
     exchange.setMachines(['127.0.0.2']);
--- a/test/peers/delivery-fleet.ts
+++ b/test/peers/delivery-fleet.ts
@@ -12,7 +12,7 @@
 import { Metrics } from '../../src/runtime/metrics.js';
 import { ReplicaSource } from '../../src/runtime/replica-source.js';
 import type { ReaderCandidate } from '../../src/peers/reader-order.js';
-import { DeltaTexts } from '../../src/peers/told-delta.js';
+import { DeltaTextCache } from '../../src/peers/delta-codec.js';
 import { StoreReplica } from '../../src/store/store-replica.js';
 import { CHECK_INTERVAL_MS } from '../../src/clock/shared-interval.js';
 import { StoreStandIn } from '../../standins/store-platform/store-stand-in.js';
@@ -63,9 +63,9 @@
     for (let idx = 0; idx < plan.machines; idx += 1) {
       fleet.machines.push(await fleet.startMachine(idx, plan));
     }
-    const place = fleet.machines.map(({ address }) => ({ address, zone: ZONE }));
+    const inZone = fleet.machines.map(({ address }) => ({ address, zone: ZONE }));
     const elsewhere = OTHER_ZONES.map((zone, idx) => ({ address: `10.9.9.${idx}`, zone }));
-    fleet.place([...place, ...elsewhere]);
+    fleet.setMachines([...inZone, ...elsewhere]);
     while (fleet.machines.filter(({ source }) => source.isReading).length > READERS) {
       await pause(POLL_MS);
     }
@@ -94,18 +94,18 @@
     await this.lifeCycle.close();
   }
 
-  private place(candidates: readonly ReaderCandidate[]): void {
+  private setMachines(candidates: readonly ReaderCandidate[]): void {
     this.machines.forEach(({ source }) => source.setMachines(candidates));
   }
 
   private async startMachine(idx: number, plan: DeliveryPlan): Promise<DeliveryMachine> {
     const address = `${NETWORK}.${idx + 1}`;
     const replica = new StoreReplica();
-    const deltas = new DeltaTexts(replica);
+    const deltas = new DeltaTextCache(replica);
     const metrics = new Metrics();
     const log: string[] = [];
-    const storePlace = { address: '127.0.0.1', port: this.store.port };
-    const storeLink = await LinkProxy.start({ address, port: STORE_PORT }, storePlace);
+    const storeAddress = { address: '127.0.0.1', port: this.store.port };
+    const storeLink = await LinkProxy.start({ address, port: STORE_PORT }, storeAddress);
     storeLink.setBandwidth(plan.storeLinkBytesPerS ?? Infinity);
     this.lifeCycle.own('store link', storeLink, (one) => one.close());
     const store = new StoreClient({ address, port: STORE_PORT });
--- a/test/peers/told-delta.test.ts
+++ b/test/peers/delta-codec.test.ts
@@ -4,7 +4,7 @@
 import { expect } from 'chai';
 import { resolveFeedDelta } from '../../src/peers/feed-delta.js';
 import { decodeDelta } from '../../src/peers/feed-message.js';
-import { DeltaTexts, encodeDelta, MAX_DELTA_LENGTH } from '../../src/peers/told-delta.js';
+import { DeltaTextCache, encodeDelta, MAX_DELTA_LENGTH } from '../../src/peers/delta-codec.js';
 import { StoreReplica } from '../../src/store/store-replica.js';
 
 const LONG = Array.from({ length: 500 }, (_none, idx) => `{"name":"route-${idx}"}`).join(',');
@@ -40,7 +40,7 @@
     expect(encodeDelta(delta).length).to.be.below(JSON.stringify(delta).length / 5);
   });
 
-  const whole = encodeDelta({
+  const complete = encodeDelta({
     sinceRevision: 0,
     revision: 1,
     changes: [{ key: 'a', revision: 1, value: LONG }],
@@ -49,8 +49,8 @@
     'is no base64': '{"deflated":"\\u0000!"}',
     'is empty': '{"deflated":""}',
     'is no text': '{"deflated":7}',
-    'was cut': `${whole.slice(0, whole.length / 2)}"}`,
-    'has one byte changed': whole.replace(/[a-z](?=.{40}"}$)/, (sign) =>
+    'was cut': `${complete.slice(0, complete.length / 2)}"}`,
+    'has one byte changed': complete.replace(/[a-z](?=.{40}"}$)/, (sign) =>
       sign === 'a' ? 'b' : 'a',
     ),
     'holds no JSON': deflated('no json'),
@@ -67,25 +67,25 @@
 
 describe('the texts of the deltas of a replica', () => {
   it('are made once while the replica stays as it is', () => {
-    const texts = new DeltaTexts(replicaWith(LONG));
+    const texts = new DeltaTextCache(replicaWith(LONG));
     expect(texts.since(0)).to.equal(texts.since(0));
   });
 
   it('tell what the replica holds by then', () => {
     const replica = replicaWith('old');
-    const texts = new DeltaTexts(replica);
+    const texts = new DeltaTextCache(replica);
     texts.since(0);
     replica.takeChanges([{ key: 'b', revision: 2, value: 'new' }], 2);
     const follower = replicaWith('old');
-    const told = decodeDelta(texts.since(1));
-    const delta = told && resolveFeedDelta(follower, told);
+    const decoded = decodeDelta(texts.since(1));
+    const delta = decoded && resolveFeedDelta(follower, decoded);
     expect(delta && follower.takeDelta(delta)).to.equal(true);
     expect([...follower.items()]).to.deep.equal([...replica.items()]);
   });
 
   it('tell an older change that came late, at the same revision', () => {
     const replica = replicaWith('old');
-    const texts = new DeltaTexts(replica);
+    const texts = new DeltaTextCache(replica);
     replica.takeChanges([{ key: 'b', revision: 2, value: '2' }], 5);
     const before = texts.since(0);
     replica.takeList(
--- a/test/peers/delta-fetch.test.ts
+++ b/test/peers/delta-fetch.test.ts
@@ -47,9 +47,9 @@
       const timer = setInterval(() => response.write(' '), 100);
       response.on('close', () => clearInterval(timer));
     };
-    const beganAtMs = performance.now();
+    const startedAtMs = performance.now();
     expect(await fetchDelta(HOST, port, 1)).to.equal(undefined);
-    expect(performance.now() - beganAtMs).to.be.below(6_000);
+    expect(performance.now() - startedAtMs).to.be.below(6_000);
   }).timeout(10_000);
 
   it('are given up when the answer goes on beyond any state', async () => {
--- a/test/peers/feed-fuzz.test.ts
+++ b/test/peers/feed-fuzz.test.ts
@@ -65,7 +65,7 @@
   return held;
 }
 
-function take(delta: ReplicaDelta | undefined, held: StoreReplica): void {
+function applyAndCheck(delta: ReplicaDelta | undefined, held: StoreReplica): void {
   if (delta !== undefined) {
     held.takeDelta(delta);
   }
@@ -87,10 +87,10 @@
         expect(Number.isSafeInteger(message.confirmation)).to.equal(true);
       }
       const held = replica();
-      take(message?.delta && resolveFeedDelta(held, message.delta), held);
+      applyAndCheck(message?.delta && resolveFeedDelta(held, message.delta), held);
       const bare = replica();
       const delta = decodeDelta(text);
-      take(delta && resolveFeedDelta(bare, delta), bare);
+      applyAndCheck(delta && resolveFeedDelta(bare, delta), bare);
     });
     fc.assert(property, { seed: SEED, numRuns: RUNS });
   });
@@ -98,7 +98,7 @@
   it('is a message as long as nothing in it was changed', () => {
     const held = replica();
     const message = decodeFeedMessage(JSON.stringify(MESSAGE));
-    take(message?.delta && resolveFeedDelta(held, message.delta), held);
+    applyAndCheck(message?.delta && resolveFeedDelta(held, message.delta), held);
     const values = [...held.items()].map(({ key, value }) => [key, value]);
     expect(values).to.deep.equal([
       ['a', 'new'],
@@ -116,13 +116,13 @@
       fc.uint8Array({ maxLength: 40 }).map((some) => Buffer.from(some)),
       line.map((text) => Buffer.from(`${text}\n`)),
     );
-    const property = fc.asyncProperty(bytes, fc.boolean(), async (told, isBare) => {
+    const property = fc.asyncProperty(bytes, fc.boolean(), async (sentBytes, isBare) => {
       let messageCount = 0;
       respond = (response) => {
         if (isBare) {
-          response.socket?.end(told);
+          response.socket?.end(sentBytes);
         } else {
-          response.end(told);
+          response.end(sentBytes);
         }
       };
       await new Promise<void>((resolve) => {
@@ -134,7 +134,7 @@
         });
         client.open(HOST, 1);
       });
-      const lines = told.toString('utf8').split('\n').slice(0, -1);
+      const lines = sentBytes.toString('utf8').split('\n').slice(0, -1);
       const messages = lines.filter((one) => decodeFeedMessage(one) !== undefined);
       expect(messageCount).to.be.at.most(messages.length);
     });
--- a/test/peers/large-change.test.ts
+++ b/test/peers/large-change.test.ts
@@ -58,18 +58,18 @@
 
   it('is held by every node of a zone on thin links in half of its bound', async () => {
     await startFleet();
-    const tookMs = await fleet.deliver(configurationOf(ROUTES_BEFORE + ROUTES_ADDED, 2));
+    const elapsedMs = await fleet.deliver(configurationOf(ROUTES_BEFORE + ROUTES_ADDED, 2));
     expect(fleet.logged('feed-silent'), 'feeds given up').to.have.length(0);
-    expect(tookMs).to.be.below(BOUND_MS);
+    expect(elapsedMs).to.be.below(BOUND_MS);
   }).timeout(20_000);
 
   it('does not keep a small change that follows it from being held in half of its bound', async () => {
     await startFleet();
     const large = fleet.deliver(configurationOf(ROUTES_BEFORE + ROUTES_ADDED, 2));
     await pause(SMALL_CHANGE_AFTER_MS);
-    const tookMs = await fleet.deliver('draining', 'servers/i-1');
+    const elapsedMs = await fleet.deliver('draining', 'servers/i-1');
     await large;
-    expect(tookMs).to.be.below(BOUND_MS);
+    expect(elapsedMs).to.be.below(BOUND_MS);
   }).timeout(20_000);
 
   /**
--- a/test/peers/peer-monitor.test.ts
+++ b/test/peers/peer-monitor.test.ts
@@ -40,8 +40,8 @@
 
 describe('watch over peers', () => {
   it('finds a peer silent within a second when it owes an answer and gives no sign of life', () => {
-    const silentAtMs = firstOf(run(monitorOf(), 0, 2_000, 0), 'silent');
-    expect(silentAtMs).to.be.within(600, 1_000);
+    const unresponsiveAtMs = firstOf(run(monitorOf(), 0, 2_000, 0), 'silent');
+    expect(unresponsiveAtMs).to.be.within(600, 1_000);
   });
 
   it('asks nothing of a peer that owes nothing, but for gossip', () => {
@@ -50,23 +50,23 @@
     expect(effects).to.have.length(3);
   });
 
-  const signs = ['answer', 'acknowledgement', 'ping'] as const;
-  for (const sign of signs) {
-    it(`takes a peer for alive after its ${sign}, also one that was silent`, () => {
+  const kinds = ['answer', 'acknowledgement', 'ping'] as const;
+  for (const kind of kinds) {
+    it(`takes a peer for alive after its ${kind}, also one that was silent`, () => {
       const monitor = monitorOf();
       run(monitor, 0, 1_500, 0);
-      expect(monitor.isSilent('owes')).to.equal(true);
+      expect(monitor.isUnresponsive('owes')).to.equal(true);
       const effects =
-        sign === 'answer'
-          ? monitor.heard('owes', 1_600)
+        kind === 'answer'
+          ? monitor.recordReceived('owes', 1_600)
           : monitor.receive(
               'owes',
-              { kind: sign, revision: 1, ageMs: 0, suspicionDigest: 0 },
+              { kind: kind, revision: 1, ageMs: 0, suspicionDigest: 0 },
               OWN,
               1_600,
             );
       expect(effects.map(({ type }) => type)).to.include('heard-again');
-      expect(monitor.isSilent('owes')).to.equal(false);
+      expect(monitor.isUnresponsive('owes')).to.equal(false);
     });
   }
 
@@ -134,7 +134,7 @@
     const monitor = monitorOf();
     run(monitor, 0, 1_500, 0);
     monitor.setPeers([]);
-    expect(monitor.isSilent('owes')).to.equal(false);
+    expect(monitor.isUnresponsive('owes')).to.equal(false);
   });
 });
 
--- a/test/peers/slow-feeds.test.ts
+++ b/test/peers/slow-feeds.test.ts
@@ -19,7 +19,7 @@
   readonly choice = new SourceChoice(SELF, () => 0.9, 1);
   readonly followed: string[] = [];
   oldestMs = 0;
-  lateMs = STEP_MS;
+  delayMs = STEP_MS;
   /** Feeds opened before this time say nothing more. */
   silentBeforeMs = -Infinity;
   private nowMs = 0;
@@ -27,8 +27,13 @@
   private feed: { peer: string; openedAtMs: number } | undefined;
 
   constructor() {
-    const place = { ahead: PEERS, neighbours: new Set(PEERS), readers: 4, zoneSize: 24 };
-    this.choice.setPlace(place);
+    const position = {
+      predecessors: PEERS,
+      neighbours: new Set(PEERS),
+      readerCount: 4,
+      zoneSize: 24,
+    };
+    this.choice.setPosition(position);
     this.choice.storeAnswered(0);
   }
 
@@ -47,10 +52,10 @@
   private step(): void {
     const { nowMs, choice } = this;
     if (nowMs % 700 === 0) {
-      choice.peerHeard(PEERS[(nowMs / 700) % PEERS.length] ?? '', 300, nowMs);
+      choice.recordPeerAge(PEERS[(nowMs / 700) % PEERS.length] ?? '', 300, nowMs);
     }
-    this.hearFeed();
-    if (choice.reads && nowMs < 2_000 && nowMs % ROUND_MS === 0) {
+    this.receiveFeed();
+    if (choice.shouldRead && nowMs < 2_000 && nowMs % ROUND_MS === 0) {
       choice.storeAnswered(nowMs);
     }
     if (nowMs % TICK_MS === 0) {
@@ -60,15 +65,15 @@
   }
 
   /** The first message comes after a round trip to open the connection and one for the feed. */
-  private hearFeed(): void {
+  private receiveFeed(): void {
     if (this.feed === undefined || this.feed.openedAtMs < this.silentBeforeMs) {
       return;
     }
-    const sinceMs = this.nowMs - this.feed.openedAtMs - this.lateMs;
+    const sinceMs = this.nowMs - this.feed.openedAtMs - this.delayMs;
     if (sinceMs >= 0 && sinceMs % ROUND_MS === 0) {
       this.confirmation += 1;
-      const told = { ageMs: 50, reader: '10.0.0.0', confirmation: this.confirmation };
-      this.choice.feedHeard(this.feed.peer, told, this.nowMs);
+      const freshness = { ageMs: 50, reader: '10.0.0.0', confirmation: this.confirmation };
+      this.choice.feedMessageReceived(this.feed.peer, freshness, this.nowMs);
     }
   }
 
@@ -83,12 +88,12 @@
 }
 
 describe('a node whose feeds are slow to begin', () => {
-  for (const lateMs of [300, 600, 1_200]) {
-    it(`waits for one of them, and its state stays young (${lateMs} ms)`, () => {
+  for (const delayMs of [300, 600, 1_200]) {
+    it(`waits for one of them, and its state stays young (${delayMs} ms)`, () => {
       const follower = new Follower();
       follower.run(5_000);
       expect(follower.followed.length).to.be.below(3);
-      follower.lateMs = lateMs;
+      follower.delayMs = delayMs;
       follower.silentBeforeMs = 5_000;
       follower.run(30_000);
       expect(follower.oldestMs).to.be.below(6_000);
@@ -117,7 +122,7 @@
     const effects: SourceEffect[] = [];
     for (const endMs = nowMs + durationMs; nowMs < endMs;) {
       nowMs += TICK_MS;
-      choice.peerHeard(OTHER, 0, nowMs);
+      choice.recordPeerAge(OTHER, 0, nowMs);
       if (hasBytes) {
         choice.feedProgressed(peer, true, nowMs);
       }
@@ -128,25 +133,35 @@
 
   beforeEach(() => {
     choice = new SourceChoice(SELF, () => 0.99, 1);
-    choice.setPlace({ ahead: PEERS, neighbours: new Set(PEERS), readers: 4, zoneSize: 24 });
+    choice.setPosition({
+      predecessors: PEERS,
+      neighbours: new Set(PEERS),
+      readerCount: 4,
+      zoneSize: 24,
+    });
     choice.storeAnswered(0);
     nowMs = 2_100;
     choice.tick(nowMs);
-    peer = choice.followed ?? '';
-    choice.feedHeard(peer, { ageMs: 0, reader: PEERS[0] ?? '', confirmation: 1 }, nowMs);
+    peer = choice.followedPeer ?? '';
+    choice.feedMessageReceived(peer, { ageMs: 0, reader: PEERS[0] ?? '', confirmation: 1 }, nowMs);
     choice.tick(nowMs);
   });
 
   it('keeps it while bytes come, though its state grows old and another peer is fresh', () => {
     const effects = run(4_500, true);
     expect(choice.freshness(nowMs).ageMs).to.be.above(4_000);
-    expect(choice.followed).to.equal(peer);
+    expect(choice.followedPeer).to.equal(peer);
     expect(effects.filter(({ type }) => type === 'stop-following')).to.deep.equal([]);
   });
 
   it('asks the store beside it once its state is old', () => {
     const zoneSize = 2;
-    choice.setPlace({ ahead: PEERS, neighbours: new Set(PEERS), readers: 4, zoneSize });
+    choice.setPosition({
+      predecessors: PEERS,
+      neighbours: new Set(PEERS),
+      readerCount: 4,
+      zoneSize,
+    });
     expect(run(4_500, true)).to.deep.include({ type: 'read' });
   });
 
@@ -166,21 +181,31 @@
   it('leaves it when the message does not become whole for long', () => {
     const effects = run(5_400, true);
     expect(effects[0]).to.have.nested.property('failure.reason', 'slow');
-    expect(choice.followed).to.equal(OTHER);
+    expect(choice.followedPeer).to.equal(OTHER);
   });
 });
 
 describe('a node that has to read in the place of those before it', () => {
   it('keeps its feed until the store has answered', () => {
     const choice = new SourceChoice(SELF, () => 0.99, 1);
-    choice.setPlace({ ahead: PEERS, neighbours: new Set(PEERS), readers: 4, zoneSize: 24 });
+    choice.setPosition({
+      predecessors: PEERS,
+      neighbours: new Set(PEERS),
+      readerCount: 4,
+      zoneSize: 24,
+    });
     choice.storeAnswered(0);
     choice.tick(2_100);
-    const peer = choice.followed ?? '';
-    choice.feedHeard(peer, { ageMs: 0, reader: PEERS[0] ?? '', confirmation: 1 }, 2_110);
+    const peer = choice.followedPeer ?? '';
+    choice.feedMessageReceived(peer, { ageMs: 0, reader: PEERS[0] ?? '', confirmation: 1 }, 2_110);
     choice.tick(2_250);
-    expect(choice.reads).to.equal(false);
-    choice.setPlace({ ahead: [], neighbours: new Set(PEERS), readers: 4, zoneSize: 24 });
+    expect(choice.shouldRead).to.equal(false);
+    choice.setPosition({
+      predecessors: [],
+      neighbours: new Set(PEERS),
+      readerCount: 4,
+      zoneSize: 24,
+    });
     expect(choice.tick(2_400)).to.deep.equal([{ type: 'read' }]);
     choice.storeAnswered(2_500);
     expect(choice.tick(2_550)).to.deep.equal([{ type: 'stop-following' }]);
--- a/test/peers/source-choice.test.ts
+++ b/test/peers/source-choice.test.ts
@@ -28,7 +28,7 @@
   it('is the same for all, whatever the order of the list, and has a first without any ahead', () => {
     const machines = ['a', 'b', 'c', 'd'].map((address) => ({ address, zone: 'z' }));
     const lengths = machines.map(
-      (self) => new ReaderOrder(self).placeAmong([...machines].reverse()).ahead.length,
+      (self) => new ReaderOrder(self).positionAmong([...machines].reverse()).predecessors.length,
     );
     expect(lengths.sort()).to.deep.equal([0, 1, 2, 3]);
   });
@@ -38,10 +38,10 @@
       { address: 'a', zone: 'z' },
       { address: 'b', zone: 'y' },
     ];
-    const place = new ReaderOrder({ address: 'c', zone: 'z' }).placeAmong(machines);
-    expect(place.zoneSize).to.equal(2);
-    expect(place.readers).to.equal(6);
-    expect(place.ahead).to.not.include('b');
+    const position = new ReaderOrder({ address: 'c', zone: 'z' }).positionAmong(machines);
+    expect(position.zoneSize).to.equal(2);
+    expect(position.readerCount).to.equal(6);
+    expect(position.predecessors).to.not.include('b');
   });
 });
 
--- a/test/peers/source-world.ts
+++ b/test/peers/source-world.ts
@@ -9,7 +9,7 @@
 const STEP_MS = 20;
 const TICK_MS = 160;
 const WATCH_WAIT_MS = 600;
-const SILENT_STORE_MS = 1_800;
+const STORE_TIMEOUT_MS = 1_800;
 const BACK_OFF_MS = 600;
 const MAX_FOLLOWERS = 16;
 
@@ -52,7 +52,7 @@
       const address = `10.1.${Math.floor(idx / 250)}.${idx % 250}`;
       this.add(address, `zone-${idx % params.zones}`);
     }
-    this.nodes.forEach((node) => this.place(node));
+    this.nodes.forEach((node) => this.setPosition(node));
   }
 
   /** Readers among the nodes that live. */
@@ -99,7 +99,7 @@
     for (const node of nodes) {
       Object.assign(node, this.freshState(node.address));
       node.followers.clear();
-      this.place(node);
+      this.setPosition(node);
     }
   }
 
@@ -122,8 +122,8 @@
     this.byAddress.set(address, node);
   }
 
-  private place(node: FleetNode): void {
-    node.choice.setPlace(new ReaderOrder(node).placeAmong(this.nodes));
+  private setPosition(node: FleetNode): void {
+    node.choice.setPosition(new ReaderOrder(node).positionAmong(this.nodes));
     node.monitor.setPeers(this.nodes.filter((one) => one !== node).map(({ address }) => address));
   }
 
@@ -155,7 +155,7 @@
         node.choice.storeAnswered(this.nowMs);
         this.learn(node, this.revision, true);
       }
-    } else if (state === 'refuses' || waitedMs >= SILENT_STORE_MS) {
+    } else if (state === 'refuses' || waitedMs >= STORE_TIMEOUT_MS) {
       node.calledAtMs = undefined;
       node.nextCallAtMs = this.nowMs + BACK_OFF_MS * (0.5 + this.params.random());
       this.execute(node, node.choice.storeFailed(this.nowMs));
@@ -163,15 +163,15 @@
   }
 
   private learn(node: FleetNode, revision: number, isConfirmed: boolean): void {
-    const isNews = isConfirmed || node.revision < revision;
+    const shouldForward = isConfirmed || node.revision < revision;
     node.revision = Math.max(node.revision, revision);
-    if (!isNews) {
+    if (!shouldForward) {
       return;
     }
     const freshness = node.choice.freshness(this.nowMs);
     for (const follower of node.followers) {
       if (follower.isAlive) {
-        const confirms = follower.choice.feedHeard(node.address, freshness, this.nowMs);
+        const confirms = follower.choice.feedMessageReceived(node.address, freshness, this.nowMs);
         this.learn(follower, node.revision, confirms);
       }
     }
@@ -200,7 +200,7 @@
       ageMs: node.choice.freshness(this.nowMs).ageMs,
       suspicionDigest: 0,
     });
-    to.choice.peerHeard(from.address, own(from).ageMs, this.nowMs);
+    to.choice.recordPeerAge(from.address, own(from).ageMs, this.nowMs);
     to.monitor.receive(
       from.address,
       { kind: 'acknowledgement', ...own(from) },
@@ -239,7 +239,7 @@
     node.follows = peer;
     peer.followers.add(node);
     const freshness = peer.choice.freshness(this.nowMs);
-    const isConfirmed = node.choice.feedHeard(peer.address, freshness, this.nowMs);
+    const isConfirmed = node.choice.feedMessageReceived(peer.address, freshness, this.nowMs);
     this.learn(node, peer.revision, isConfirmed);
   }
 
--- a/test/peers/suspicion-gossip.test.ts
+++ b/test/peers/suspicion-gossip.test.ts
@@ -3,7 +3,7 @@
 import type { Suspicion } from '../../src/containment/suspicion.js';
 import { SuspicionTable } from '../../src/containment/suspicion-table.js';
 import { limitToBytes, suspicionLayout } from '../../src/containment/suspicion-layout.js';
-import { SuspicionGossip, type SentNews } from '../../src/peers/suspicion-gossip.js';
+import { SuspicionGossip, type OutgoingSuspicions } from '../../src/peers/suspicion-gossip.js';
 import { seededRandom } from '../proxy/rig.js';
 
 const GUILTY = 'c'.repeat(40);
@@ -24,7 +24,7 @@
   sentCount = 0;
   readonly nodes = new Map<string, GossipNode>();
   private readonly random: () => number;
-  private waiting: (() => void)[] = [];
+  private inFlight: (() => void)[] = [];
 
   constructor(
     size: number,
@@ -35,7 +35,7 @@
     for (let number = 0; number < size; number += 1) {
       this.start(`n${number}`);
     }
-    this.meet();
+    this.updatePeers();
   }
 
   start(name: string): GossipNode {
@@ -51,25 +51,25 @@
     return node;
   }
 
-  meet(): void {
+  updatePeers(): void {
     for (const [name, { gossip }] of this.nodes) {
       gossip.setPeers([...this.nodes.keys()].filter((peer) => peer !== name));
     }
   }
 
-  blame(name: string, crash: number): void {
+  recordCrash(name: string, crash: number): void {
     const { table, gossip } = this.nodes.get(name) ?? expect.fail('no such node');
     const changed = table.recordCrash([GUILTY], crash.toString(16).padStart(12, '0'), this.nowMs);
-    this.send(gossip.learned(changed));
+    this.send(gossip.propagate(changed));
   }
 
   runFor(ms: number): void {
     for (const untilMs = this.nowMs + ms; this.nowMs < untilMs; this.nowMs += HOP_MS) {
-      const arrived = this.waiting;
-      this.waiting = [];
-      arrived.forEach((take) => take());
+      const arrived = this.inFlight;
+      this.inFlight = [];
+      arrived.forEach((deliver) => deliver());
       this.ping();
-      this.note();
+      this.recordKnowledge();
     }
   }
 
@@ -80,7 +80,7 @@
     ).length;
   }
 
-  private note(): void {
+  private recordKnowledge(): void {
     for (const node of this.nodes.values()) {
       const knows = node.table.standingOf(GUILTY, this.nowMs) === 'contained';
       node.knewAtMs ??= knows ? this.nowMs : undefined;
@@ -96,30 +96,30 @@
         node.nextPingAtMs += PING_INTERVAL_MS;
         const other = this.nodes.get(peer) ?? node;
         this.deliver(peer, () => {
-          this.send(other.gossip.heardDigest(name, node.table.digest, this.nowMs));
+          this.send(other.gossip.handleDigest(name, node.table.digest, this.nowMs));
           this.deliver(name, () => {
-            this.send(node.gossip.heardDigest(peer, other.table.digest, this.nowMs));
+            this.send(node.gossip.handleDigest(peer, other.table.digest, this.nowMs));
           });
         });
       }
     }
   }
 
-  private send(news: readonly SentNews[]): void {
-    for (const { to, suspicions } of news) {
+  private send(outgoing: readonly OutgoingSuspicions[]): void {
+    for (const { to, suspicions } of outgoing) {
       this.sentCount += 1;
-      this.deliver(to, () => this.take(to, suspicions));
+      this.deliver(to, () => this.receive(to, suspicions));
     }
   }
 
-  private take(name: string, suspicions: readonly Suspicion[]): void {
+  private receive(name: string, suspicions: readonly Suspicion[]): void {
     const { table, gossip } = this.nodes.get(name) ?? expect.fail('no such node');
-    this.send(gossip.learned(table.merge(suspicions, this.nowMs)));
+    this.send(gossip.propagate(table.merge(suspicions, this.nowMs)));
   }
 
   private deliver(to: string, action: () => void): void {
     if (this.random() >= this.lossShare) {
-      this.waiting.push(() => {
+      this.inFlight.push(() => {
         if (this.nodes.get(to)?.isUp === true) {
           action();
         }
@@ -132,7 +132,7 @@
   for (const size of [13, 74, 195, 1_800]) {
     it(`reaches 99.9% of ${size} machines within a second, at the same cost for each`, () => {
       const world = new GossipWorld(size, size);
-      [1, 2, 3].forEach((crash) => world.blame(`n${crash}`, crash));
+      [1, 2, 3].forEach((crash) => world.recordCrash(`n${crash}`, crash));
       world.runFor(1_000);
       expect(world.knowing).to.be.at.least(Math.floor(size * 0.999));
       world.runFor(1_000);
@@ -144,7 +144,7 @@
 
   it('reaches all in two seconds where a fifth of the datagrams is lost', () => {
     const world = new GossipWorld(195, 7, 0.2);
-    [1, 2, 3].forEach((crash) => world.blame(`n${crash}`, crash));
+    [1, 2, 3].forEach((crash) => world.recordCrash(`n${crash}`, crash));
     world.runFor(2_000);
     expect(world.knowing).to.equal(195);
   });
@@ -155,21 +155,21 @@
     cutOff.forEach((node) => {
       node.isUp = false;
     });
-    [1, 2, 3].forEach((crash) => world.blame(`n${crash}`, crash));
+    [1, 2, 3].forEach((crash) => world.recordCrash(`n${crash}`, crash));
     world.runFor(3_000);
     cutOff.forEach((node) => {
       node.isUp = true;
       node.nextPingAtMs = world.nowMs;
     });
     world.start('new');
-    world.meet();
+    world.updatePeers();
     world.runFor(2_000);
     expect(world.knowing).to.equal(75);
   });
 
   it('says nothing more once all know the same', () => {
     const world = new GossipWorld(13, 9);
-    [1, 2, 3].forEach((crash) => world.blame(`n${crash}`, crash));
+    [1, 2, 3].forEach((crash) => world.recordCrash(`n${crash}`, crash));
     world.runFor(2_000);
     const { sentCount } = world;
     world.runFor(5_000);
@@ -190,10 +190,10 @@
       digest: () => table.digest,
       list: () => table.list(0),
     });
-    const [answer = expect.fail('no answer')] = gossip.heardDigest('p', 1, 0);
+    const [answer = expect.fail('no answer')] = gossip.handleDigest('p', 1, 0);
     const bytes = answer.suspicions.reduce((sum, one) => sum + suspicionLayout.size(one), 0);
     expect(bytes).to.be.within(800, 1_200);
-    expect(gossip.heardDigest('p', 1, 100)).to.deep.equal([]);
+    expect(gossip.handleDigest('p', 1, 100)).to.deep.equal([]);
     expect(limitToBytes(table.list(0), 100)).to.have.length(3);
   });
 });
--- a/test/platform/store-fuzz.test.ts
+++ b/test/platform/store-fuzz.test.ts
@@ -16,7 +16,7 @@
 import { buildSnapshot, NO_SNAPSHOT_VERSION, type Snapshot } from '../../src/model/snapshot.js';
 import { feedDeltaSince, resolveFeedDelta } from '../../src/peers/feed-delta.js';
 import { decodeFeedMessage, encodeFeedMessage } from '../../src/peers/feed-message.js';
-import { encodeDelta } from '../../src/peers/told-delta.js';
+import { encodeDelta } from '../../src/peers/delta-codec.js';
 import type { StoreRecord } from '../../src/store/configuration-record.js';
 import { InvalidItemError } from '../../src/store/item-fault.js';
 import type { StoreChange } from '../../src/store/key-value-store.js';
--- a/test/transport/link-preference.test.ts
+++ b/test/transport/link-preference.test.ts
@@ -3,7 +3,7 @@
 import {
   chooseLink,
   type LinkChoice,
-  type LinkFacts,
+  type LinkAttributes,
 } from '../../src/transport/link-preference.js';
 
 type Choose = typeof chooseLink;
@@ -12,7 +12,7 @@
 function kept(choose: Choose, own: string, peer: string, dialers: readonly string[]): string {
   let held: string | undefined;
   for (const dialer of dialers) {
-    const facts = (id: string): LinkFacts => ({
+    const facts = (id: string): LinkAttributes => ({
       peerIncarnation: 1,
       role: id === own ? 'dialer' : 'acceptor',
     });
@@ -52,7 +52,13 @@
     });
   }
 
-  const cases: readonly [LinkFacts['role'], number, LinkFacts['role'], number, LinkChoice][] = [
+  const cases: readonly [
+    LinkAttributes['role'],
+    number,
+    LinkAttributes['role'],
+    number,
+    LinkChoice,
+  ][] = [
     ['dialer', 1, 'dialer', 1, 'replace'],
     ['acceptor', 1, 'acceptor', 1, 'replace'],
     ['dialer', 1, 'acceptor', 1, 'duplicate'],
--- a/test/transport/peer-transport-faults.test.ts
+++ b/test/transport/peer-transport-faults.test.ts
@@ -186,15 +186,15 @@
   }
 
   it('shows nothing of a message on the path', async () => {
-    const seen: Buffer[] = [];
+    const captured: Buffer[] = [];
     const [a, b] = [await bench.node('a'), await bench.node('b')];
-    a.transport.dial(await proxy(b.address, (bodies) => [...bodies], seen));
+    a.transport.dial(await proxy(b.address, (bodies) => [...bodies], captured));
     await a.until(() => a.up().length === 1);
     a.transport.send('b', { type: 'lease-release', slot: 'a secret slot', round: 1 });
     a.transport.send('b', lease(1));
     await b.untilRounds(1);
-    expect(Buffer.concat(seen).includes('secret')).to.equal(false);
-    expect(Buffer.concat(seen).includes('zone-1')).to.equal(true);
+    expect(Buffer.concat(captured).includes('secret')).to.equal(false);
+    expect(Buffer.concat(captured).includes('zone-1')).to.equal(true);
   });
 
   function flipped(body: Buffer | undefined, at = 0): Buffer {
@@ -205,7 +205,11 @@
   }
 
   /** Passes all on, but hands the dialer's two frames after its hello and proof to `tamper`. */
-  function proxy(target: PeerAddress, tamper: Tamper, seen: Buffer[] = []): Promise<PeerAddress> {
+  function proxy(
+    target: PeerAddress,
+    tamper: Tamper,
+    captured: Buffer[] = [],
+  ): Promise<PeerAddress> {
     return bench.rawServer((inbound) => {
       const outbound = connect(target.controlPort, target.address);
       outbound.on('error', () => undefined);
@@ -213,20 +217,20 @@
       inbound.on('close', () => outbound.destroy());
       outbound.pipe(inbound);
       const reader = new FrameReader();
-      const held: Buffer[] = [];
+      const buffered: Buffer[] = [];
       let passed = 0;
       inbound.on('data', (chunk: Buffer) => {
         reader.push(chunk);
         for (let body = reader.next(); body !== undefined; body = reader.next()) {
-          seen.push(Buffer.from(body));
+          captured.push(Buffer.from(body));
           passed += 1;
           if (passed <= 2) {
             outbound.write(reframe(body));
             continue;
           }
-          held.push(Buffer.from(body));
-          if (held.length === 2) {
-            tamper(held.splice(0)).forEach((one) => outbound.write(reframe(one)));
+          buffered.push(Buffer.from(body));
+          if (buffered.length === 2) {
+            tamper(buffered.splice(0)).forEach((one) => outbound.write(reframe(one)));
           }
         }
       });
--- a/test/transport/peer-transport.test.ts
+++ b/test/transport/peer-transport.test.ts
@@ -124,11 +124,11 @@
     await older.until(() => older.of('dial-failed').length === 1);
     expect(older.refused('stale_incarnation')).to.equal(1);
     await old.until(() => old.of('peer-down').length === 1);
-    const told = node.events.map((event) => [
+    const reported = node.events.map((event) => [
       event.type,
       'peer' in event ? event.peer.incarnation : 0,
     ]);
-    expect(told).to.deep.equal([
+    expect(reported).to.deep.equal([
       ['peer-up', 5],
       ['peer-down', 5],
       ['peer-up', 6],
--- a/tools/bench/delivery-figures.ts
+++ b/tools/bench/delivery-figures.ts
@@ -5,7 +5,7 @@
 import { feedDeltaSince, resolveFeedDelta } from '../../src/peers/feed-delta.js';
 import { decodeDelta } from '../../src/peers/feed-message.js';
 import { FOLLOWERS_PER_NODE } from '../../src/peers/reader-order.js';
-import { encodeDelta } from '../../src/peers/told-delta.js';
+import { encodeDelta } from '../../src/peers/delta-codec.js';
 import { SnapshotBuilder } from '../../src/store/snapshot-builder.js';
 import { StoreReplica } from '../../src/store/store-replica.js';
 
