--- a/src/peers/change-feed.ts
+++ b/src/peers/change-feed.ts
@@ -4,7 +4,7 @@
 import { encodeFeedMessage } from './feed-message.js';
 import { FOLLOWERS_PER_NODE } from './reader-order.js';
 import type { Freshness } from './source-choice.js';
-import type { DeltaTextCache } from './delta-codec.js';
+import type { DeltaCache } from './delta-codec.js';
 
 /** Maximum number of followers. Nodes whose feed failed may connect to a node with its planned share. */
 const MAX_FOLLOWERS = 2 * FOLLOWERS_PER_NODE;
@@ -19,7 +19,7 @@
 /** Dependencies of a {@link ChangeFeed}. */
 export interface ChangeFeedOptions {
   readonly replica: StoreReplica;
-  readonly deltas: DeltaTextCache;
+  readonly deltas: DeltaCache;
   readonly freshness: () => Freshness;
 }
 
--- a/src/peers/delta-codec.ts
+++ b/src/peers/delta-codec.ts
@@ -48,7 +48,7 @@
 }
 
 /** Caches the encoded deltas of a replica's current state, since many followers miss the same changes. */
-export class DeltaTextCache {
+export class DeltaCache {
   private readonly texts = new Map<number, string>();
   private updateCount = -1;
 
--- a/src/runtime/internal-server.ts
+++ b/src/runtime/internal-server.ts
@@ -7,7 +7,7 @@
 import type { ChangeFeed } from '../peers/change-feed.js';
 import { CHANGES_PATH } from '../peers/delta-fetch.js';
 import { FEED_PATH } from '../peers/feed-client.js';
-import type { DeltaTextCache } from '../peers/delta-codec.js';
+import type { DeltaCache } from '../peers/delta-codec.js';
 import type { Metrics } from './metrics.js';
 
 const OK_STATUS = 200;
@@ -20,7 +20,7 @@
 /** What the server serves. */
 export interface InternalServerOptions {
   readonly metrics: Metrics;
-  readonly deltas: DeltaTextCache;
+  readonly deltas: DeltaCache;
   readonly feed: ChangeFeed;
   readonly suspicions: SuspicionView;
 }
--- a/src/runtime/replica-source.ts
+++ b/src/runtime/replica-source.ts
@@ -10,7 +10,7 @@
 import type { FeedMessage } from '../peers/feed-message.js';
 import { ReaderOrder, type ReaderCandidate } from '../peers/reader-order.js';
 import { SourceChoice, type FeedFailure, type SourceEffect } from '../peers/source-choice.js';
-import type { DeltaTextCache } from '../peers/delta-codec.js';
+import type { DeltaCache } from '../peers/delta-codec.js';
 import type { RefusedItem } from '../store/item-fault.js';
 import type { KeyValueStore } from '../store/key-value-store.js';
 import { StoreFollower } from '../store/store-follower.js';
@@ -50,7 +50,7 @@
   readonly store: KeyValueStore;
   readonly replica: StoreReplica;
   /** The replica's deltas, as followers are told them. */
-  readonly deltas: DeltaTextCache;
+  readonly deltas: DeltaCache;
   readonly random: RandomSource;
   readonly logger: Logger;
   readonly counters: CounterSink;
--- a/src/runtime/store-node.ts
+++ b/src/runtime/store-node.ts
@@ -8,7 +8,7 @@
 import { PERIODIC_CHECKS } from '../clock/shared-interval.js';
 import { Containment } from '../containment/containment.js';
 import { PeerExchange } from '../peers/peer-exchange.js';
-import { DeltaTextCache } from '../peers/delta-codec.js';
+import { DeltaCache } from '../peers/delta-codec.js';
 import type { AwaitedPeer } from '../peers/peer-monitor.js';
 import type { CallerProtocol } from '../proxy/caller-protocol.js';
 import type { EndpointProtocol } from '../proxy/endpoint-protocol.js';
@@ -54,7 +54,7 @@
 export class StoreNode {
   private readonly metrics = new Metrics();
   private readonly replica: StoreReplica;
-  private readonly deltas: DeltaTextCache;
+  private readonly deltas: DeltaCache;
   private readonly containment: Containment;
   private readonly builder: SnapshotBuilder;
   private readonly refusals: RefusedItemReporter;
@@ -79,7 +79,7 @@
       options.logger.warn('close-failed', { name, reason: String(err) });
     });
     this.replica = new StoreReplica((change) => this.missingItemRetentionMs(change));
-    this.deltas = new DeltaTextCache(this.replica);
+    this.deltas = new DeltaCache(this.replica);
     this.builder = new SnapshotBuilder(options.readRecord);
     this.refusals = this.createRefusals();
     this.containment = this.createContainment();
--- a/test/peers/closed-exchange.test.ts
+++ b/test/peers/closed-exchange.test.ts
@@ -1,7 +1,6 @@
 /**
- * An endpoint's end that is judged just after its node has closed its datagrams: at the end of a stop, and
- * beside other work that made the judgement late, the news was sent on a closed socket, and the process ended
- * with ERR_SOCKET_DGRAM_NOT_RUNNING.
+ * Guards against a crash with ERR_SOCKET_DGRAM_NOT_RUNNING: if a stopping node evaluates an endpoint's end
+ * late, after its datagram socket was closed, it must not send the resulting suspicions on that socket.
  */
 import { expect } from 'chai';
 import { Containment } from '../../src/containment/containment.js';
@@ -9,7 +8,7 @@
 import { EMPTY_BODY } from '../../src/proxy/request-body.js';
 import { StoreReplica } from '../../src/store/store-replica.js';
 
-describe('the exchange of a node with its peers', () => {
+describe('PeerExchange', () => {
   it('sends nothing after it was closed', async () => {
     const containment = new Containment({
       nodeName: 'n',
--- a/test/peers/delivery-fleet.ts
+++ b/test/peers/delivery-fleet.ts
@@ -1,6 +1,6 @@
 /**
- * The way of a change from the store to every node: sources and replicas of many machines in one process,
- * each behind a link of its own rate that all its followers share.
+ * Simulates the delivery of a change from the store to every node. The sources and replicas of many machines
+ * run in one process, each behind a link of limited rate that all its followers share.
  */
 import { once } from 'node:events';
 import type http from 'node:http';
@@ -12,7 +12,7 @@
 import { Metrics } from '../../src/runtime/metrics.js';
 import { ReplicaSource } from '../../src/runtime/replica-source.js';
 import type { ReaderCandidate } from '../../src/peers/reader-order.js';
-import { DeltaTextCache } from '../../src/peers/delta-codec.js';
+import { DeltaCache } from '../../src/peers/delta-codec.js';
 import { StoreReplica } from '../../src/store/store-replica.js';
 import { CHECK_INTERVAL_MS } from '../../src/clock/shared-interval.js';
 import { StoreStandIn } from '../../standins/store-platform/store-stand-in.js';
@@ -22,19 +22,19 @@
 const BEHIND_LINK_PORT = 21_422;
 const STORE_PORT = 21_423;
 const ZONE = 'z1';
-/** With one machine each, so that the zone under test has two readers. */
+/** Zones of one machine each, so that the zone under test has two readers. */
 const OTHER_ZONES = ['z2', 'z3', 'z4', 'z5', 'z6'];
 const READERS = 2;
 const POLL_MS = 5;
-/** A loopback network for each process: test files run in several at once. */
+/** A loopback network per process, since test files run in several processes at once. */
 const NETWORK = `127.${1 + ((process.pid >> 8) % 200)}.${process.pid % 256}`;
 
-/** What a fleet is started with. */
+/** Parameters of a fleet. */
 export interface DeliveryPlan {
   readonly machines: number;
-  /** What the link of each machine passes each way, in bytes a second. */
+  /** Bandwidth of each machine's link in each direction, in bytes per second. */
   readonly linkBytesPerS: number;
-  /** The same for its link to the store; no bound where it is left out. */
+  /** Bandwidth of each machine's link to the store, in bytes per second; unlimited if omitted. */
   readonly storeLinkBytesPerS?: number;
 }
 
@@ -44,7 +44,7 @@
   readonly replica: StoreReplica;
   readonly source: ReplicaSource;
   readonly link: LinkProxy;
-  /** Lines of its log. */
+  /** Lines of the machine's log. */
   readonly log: string[];
 }
 
@@ -55,7 +55,7 @@
 
   private constructor(readonly store: StoreStandIn) {}
 
-  /** Starts the machines; resolves once all but the readers follow others. */
+  /** Starts the machines; resolves once all of them except the readers follow a peer. */
   static async start(plan: DeliveryPlan): Promise<DeliveryFleet> {
     const fleet = new DeliveryFleet(await StoreStandIn.start());
     fleet.lifeCycle.own('store', fleet.store, (one) => one.close());
@@ -73,8 +73,8 @@
   }
 
   /**
-   * Writes an item, the configuration where no key is given; resolves with the time until every machine
-   * holds it, in milliseconds.
+   * Writes an item, by default the configuration. Resolves with the time until every machine holds it, in
+   * milliseconds.
    */
   async deliver(text: string, key = CONFIGURATION_KEY): Promise<number> {
     const startMs = performance.now();
@@ -85,7 +85,7 @@
     return performance.now() - startMs;
   }
 
-  /** Lines of all logs that name the event. */
+  /** Lines of all logs that contain the event. */
   logged(event: string): string[] {
     return this.machines.flatMap(({ log }) => log.filter((line) => line.includes(event)));
   }
@@ -101,7 +101,7 @@
   private async startMachine(idx: number, plan: DeliveryPlan): Promise<DeliveryMachine> {
     const address = `${NETWORK}.${idx + 1}`;
     const replica = new StoreReplica();
-    const deltas = new DeltaTextCache(replica);
+    const deltas = new DeltaCache(replica);
     const metrics = new Metrics();
     const log: string[] = [];
     const storeAddress = { address: '127.0.0.1', port: this.store.port };
@@ -145,7 +145,6 @@
   server.closeAllConnections();
 }
 
-/** Resolves after `delayMs`. */
 export function pause(delayMs: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, delayMs));
 }
--- a/test/peers/delta-codec.test.ts
+++ b/test/peers/delta-codec.test.ts
@@ -1,10 +1,10 @@
-/** Deltas as nodes tell them to each other: bytes, what is kept of them, and texts that are none. */
+/** Encoding of deltas between nodes: size, caching, and malformed texts. */
 import { randomBytes } from 'node:crypto';
 import { deflateSync } from 'node:zlib';
 import { expect } from 'chai';
 import { resolveFeedDelta } from '../../src/peers/feed-delta.js';
 import { decodeDelta } from '../../src/peers/feed-message.js';
-import { DeltaTextCache, encodeDelta, MAX_DELTA_LENGTH } from '../../src/peers/delta-codec.js';
+import { DeltaCache, encodeDelta, MAX_DELTA_LENGTH } from '../../src/peers/delta-codec.js';
 import { StoreReplica } from '../../src/store/store-replica.js';
 
 const LONG = Array.from({ length: 500 }, (_none, idx) => `{"name":"route-${idx}"}`).join(',');
@@ -19,19 +19,19 @@
   return replica;
 }
 
-describe('a delta as it is told', () => {
+describe('an encoded delta', () => {
   for (const [name, value] of [
     ['short', 'x'],
     ['long', LONG],
     ['of bytes that do not deflate', randomBytes(9_000).toString('base64')],
   ] as const) {
-    it(`is read as it was written (${name})`, () => {
+    it(`is decoded to the same delta (${name})`, () => {
       const delta = { sinceRevision: 0, revision: 1, changes: [{ key: 'a', revision: 1, value }] };
       expect(decodeDelta(encodeDelta(delta))).to.deep.equal(delta);
     });
   }
 
-  it('takes a fifth of its bytes or less where it tells hundreds of routes', () => {
+  it('has at most a fifth of the size if it contains hundreds of routes', () => {
     const delta = {
       sinceRevision: 0,
       revision: 1,
@@ -45,7 +45,7 @@
     revision: 1,
     changes: [{ key: 'a', revision: 1, value: LONG }],
   });
-  const foreign: Readonly<Record<string, string>> = {
+  const malformed: Readonly<Record<string, string>> = {
     'is no base64': '{"deflated":"\\u0000!"}',
     'is empty': '{"deflated":""}',
     'is no text': '{"deflated":7}',
@@ -58,22 +58,22 @@
     'holds another one that is deflated': deflated(deflated('{"revision":1}')),
     'is longer than any state once inflated': deflated(' '.repeat(MAX_DELTA_LENGTH + 1)),
   };
-  for (const [name, text] of Object.entries(foreign)) {
-    it(`is none where it ${name}`, () => {
+  for (const [name, text] of Object.entries(malformed)) {
+    it(`is refused if it ${name}`, () => {
       expect(decodeDelta(text)).to.equal(undefined);
     });
   }
 });
 
-describe('the texts of the deltas of a replica', () => {
-  it('are made once while the replica stays as it is', () => {
-    const texts = new DeltaTextCache(replicaWith(LONG));
+describe('DeltaCache', () => {
+  it('encodes a delta once while the replica is unchanged', () => {
+    const texts = new DeltaCache(replicaWith(LONG));
     expect(texts.since(0)).to.equal(texts.since(0));
   });
 
-  it('tell what the replica holds by then', () => {
+  it('returns the current changes after the replica has changed', () => {
     const replica = replicaWith('old');
-    const texts = new DeltaTextCache(replica);
+    const texts = new DeltaCache(replica);
     texts.since(0);
     replica.takeChanges([{ key: 'b', revision: 2, value: 'new' }], 2);
     const follower = replicaWith('old');
@@ -83,9 +83,9 @@
     expect([...follower.items()]).to.deep.equal([...replica.items()]);
   });
 
-  it('tell an older change that came late, at the same revision', () => {
+  it('includes an older change that arrives late at the same revision', () => {
     const replica = replicaWith('old');
-    const texts = new DeltaTextCache(replica);
+    const texts = new DeltaCache(replica);
     replica.takeChanges([{ key: 'b', revision: 2, value: '2' }], 5);
     const before = texts.since(0);
     replica.takeList(
--- a/test/peers/delta-fetch.test.ts
+++ b/test/peers/delta-fetch.test.ts
@@ -1,6 +1,6 @@
 /**
- * What a peer answers when it is asked for changes. An answer without an end was held whole: a process can hold
- * no text of half a gigabyte, and ended with `Invalid string length` or out of memory.
+ * Responses of a peer to a request for changes. Guards against buffering a response that never ends: a string
+ * can't hold half a gigabyte, so that the process would end with `Invalid string length` or out of memory.
  */
 import http, { type ServerResponse } from 'node:http';
 import { once } from 'node:events';
@@ -12,7 +12,7 @@
 const HOST = '127.0.0.1';
 const CHUNK = ' '.repeat(1024 * 1024);
 
-describe('changes fetched from a peer', () => {
+describe('fetchDelta', () => {
   let answer: (response: ServerResponse) => void;
   let server: http.Server;
   let port: number;
@@ -29,20 +29,20 @@
     server.closeAllConnections();
   });
 
-  it('are taken where they can be read', async () => {
+  it('returns the decoded changes', async () => {
     const delta = { sinceRevision: 1, revision: 2, changes: [{ key: 'a', revision: 2 }] };
     answer = (response) => response.end(JSON.stringify(delta));
     expect(await fetchDelta(HOST, port, 1)).to.deep.equal(delta);
   });
 
   for (const text of ['', '[]', '7', '{"sinceRevision":0,"revision":1,"changes":[7]}']) {
-    it(`are none in ${text || 'an empty answer'}`, async () => {
+    it(`returns undefined for ${text || 'an empty response'}`, async () => {
       answer = (response) => response.end(text);
       expect(await fetchDelta(HOST, port, 1)).to.equal(undefined);
     });
   }
 
-  it('are given up when the answer does not become whole', async () => {
+  it('times out if the response does not end', async () => {
     answer = (response) => {
       const timer = setInterval(() => response.write(' '), 100);
       response.on('close', () => clearInterval(timer));
@@ -52,7 +52,7 @@
     expect(performance.now() - startedAtMs).to.be.below(6_000);
   }).timeout(10_000);
 
-  it('are given up when the answer goes on beyond any state', async () => {
+  it('aborts if the response exceeds the maximum message length', async () => {
     let sentLength = 0;
     let isCut = false;
     answer = (response) => {
--- a/test/peers/feed-delta.test.ts
+++ b/test/peers/feed-delta.test.ts
@@ -1,4 +1,4 @@
-/** Deltas as feeds tell them: patches of long texts, and when the whole text goes. */
+/** Deltas of feeds: when a value is sent as a patch, and when in full. */
 import { expect } from 'chai';
 import { feedDeltaSince, resolveFeedDelta } from '../../src/peers/feed-delta.js';
 import { StoreReplica } from '../../src/store/store-replica.js';
@@ -7,7 +7,7 @@
   return `{"version":${version}}${'{"route":"r"}'.repeat(500)}`;
 }
 
-/** A replica that was told of these versions of one item, each by itself. */
+/** Returns a replica that has received these versions of one item one after the other. */
 function replicaOf(versions: readonly number[]): StoreReplica {
   const replica = new StoreReplica();
   for (const revision of versions) {
@@ -16,8 +16,8 @@
   return replica;
 }
 
-describe('deltas of feeds', () => {
-  it('tell a long text to a follower that holds the version before by what changed', () => {
+describe('feed deltas', () => {
+  it('contain a patch for a follower that holds the previous version', () => {
     const server = replicaOf([1, 2]);
     const follower = replicaOf([1]);
     const delta = feedDeltaSince(server, 1);
@@ -26,18 +26,18 @@
     expect(resolved?.changes).to.deep.equal([{ key: 'c', revision: 2, value: longText(2) }]);
   });
 
-  it('tell the whole text to one that holds an older version', () => {
+  it('contain the full value for a follower that holds an older version', () => {
     const delta = feedDeltaSince(replicaOf([1, 2, 3]), 1);
     expect(delta.changes[0]).to.deep.equal({ key: 'c', revision: 3, value: longText(3) });
   });
 
-  it('are taken by a follower that learned the change from elsewhere', () => {
+  it('are accepted by a follower that already has the change from another source', () => {
     const server = replicaOf([1, 2]);
     const resolved = resolveFeedDelta(replicaOf([1, 2]), feedDeltaSince(server, 1));
     expect(resolved?.changes).to.have.length(1);
   });
 
-  it('are refused where the patch is for another version', () => {
+  it('are refused if the patch is for another version', () => {
     const delta = feedDeltaSince(replicaOf([1, 2]), 1);
     expect(resolveFeedDelta(new StoreReplica(), delta)).to.equal(undefined);
     const foreign = new StoreReplica();
--- a/test/peers/feed-fuzz.test.ts
+++ b/test/peers/feed-fuzz.test.ts
@@ -1,6 +1,6 @@
 /**
- * Whatever a peer's feed says: a line is taken only when it is a message in all its parts, and what is taken
- * changes the replica and makes snapshots without a fault.
+ * Fuzzes the messages of a peer's feed. A line is accepted only if all its fields are valid, and accepted
+ * deltas are applied to the replica without errors.
  */
 import http, { type ServerResponse } from 'node:http';
 import { once } from 'node:events';
@@ -34,7 +34,7 @@
   },
 };
 
-/** A delta that is deflated, whole or with some bytes changed. */
+/** A deflated delta, intact or with one byte changed. */
 const deflated = fc
   .tuple(changedItem(MESSAGE.delta), fc.option(fc.tuple(fc.nat(200), fc.nat(255))))
   .map(([value, change]) => {
@@ -46,7 +46,7 @@
     return { deflated: bytes.toString('base64') };
   });
 
-/** A line without its end. */
+/** A line without its newline. */
 const line = fc
   .oneof(
     deflated.map((delta) => JSON.stringify({ ...MESSAGE, delta })),
@@ -77,8 +77,8 @@
   }
 }
 
-describe('whatever a feed says', () => {
-  it('is taken as a message with fields of their types, or not at all', () => {
+describe('feed messages under fuzzing', () => {
+  it('are decoded with valid fields or refused', () => {
     const property = fc.property(line, (text) => {
       const message = decodeFeedMessage(text);
       if (message !== undefined) {
@@ -95,7 +95,7 @@
     fc.assert(property, { seed: SEED, numRuns: RUNS });
   });
 
-  it('is a message as long as nothing in it was changed', () => {
+  it('are decoded if they are unchanged', () => {
     const held = replica();
     const message = decodeFeedMessage(JSON.stringify(MESSAGE));
     applyAndCheck(message?.delta && resolveFeedDelta(held, message.delta), held);
@@ -106,7 +106,7 @@
     ]);
   });
 
-  it('ends the feed over a connection where it is no message', async () => {
+  it('end the feed if they are malformed', async () => {
     let respond: (response: ServerResponse) => void = () => undefined;
     const server = http.createServer((_request, response) => respond(response));
     server.listen(0, HOST);
--- a/test/peers/peer-monitor.test.ts
+++ b/test/peers/peer-monitor.test.ts
@@ -1,4 +1,4 @@
-/** Watch over peers: silence, signs of life, replicas that are ahead; datagrams. */
+/** Detection of unresponsive peers and of replicas that are ahead, and the encoding of datagrams. */
 import { expect } from 'chai';
 import { decodeDatagram, encodeDatagram } from '../../src/peers/peer-datagram.js';
 import { PeerMonitor, type PeerEffect } from '../../src/peers/peer-monitor.js';
@@ -8,7 +8,7 @@
 const CAUGHT_UP = { revision: 12, ageMs: 0, suspicionDigest: 0 };
 const NOTHING = { revision: 0, ageMs: 0, suspicionDigest: 0 };
 
-/** Ticks from `fromMs` to `toMs`; gives the effects with their times. */
+/** Ticks from `fromMs` to `toMs`; returns the effects with their times. */
 function run(
   monitor: PeerMonitor,
   fromMs: number,
@@ -38,13 +38,13 @@
   return effects.find(({ effect }) => effect.type === type)?.atMs;
 }
 
-describe('watch over peers', () => {
-  it('finds a peer silent within a second when it owes an answer and gives no sign of life', () => {
+describe('PeerMonitor', () => {
+  it('reports a peer that owes an answer and sends nothing as unresponsive within a second', () => {
     const unresponsiveAtMs = firstOf(run(monitorOf(), 0, 2_000, 0), 'silent');
     expect(unresponsiveAtMs).to.be.within(600, 1_000);
   });
 
-  it('asks nothing of a peer that owes nothing, but for gossip', () => {
+  it('sends only random pings to a peer that owes no answer', () => {
     const effects = run(monitorOf(), 0, 2_000);
     expect(firstOf(effects, 'silent')).to.equal(undefined);
     expect(effects).to.have.length(3);
@@ -52,7 +52,7 @@
 
   const kinds = ['answer', 'acknowledgement', 'ping'] as const;
   for (const kind of kinds) {
-    it(`takes a peer for alive after its ${kind}, also one that was silent`, () => {
+    it(`reports an unresponsive peer as responsive again after its ${kind}`, () => {
       const monitor = monitorOf();
       run(monitor, 0, 1_500, 0);
       expect(monitor.isUnresponsive('owes')).to.equal(true);
@@ -70,7 +70,7 @@
     });
   }
 
-  it('does not find a peer silent that answers its pings, however slow its work is', () => {
+  it('does not report a peer that acknowledges pings as unresponsive, however slow its answer', () => {
     const monitor = monitorOf();
     for (let nowMs = 0; nowMs <= 5_000; nowMs += TICK_MS) {
       const effects = monitor.tick(nowMs, OWN, [{ peer: 'owes', sinceMs: 0 }]);
@@ -82,7 +82,7 @@
     }
   });
 
-  it('goes on asking a silent peer for a sign of life', () => {
+  it('continues to ping an unresponsive peer', () => {
     const monitor = monitorOf([]);
     run(monitor, 0, 1_500, 0);
     const pings = run(monitor, 1_550, 3_550).filter(({ effect }) => effect.type === 'send');
@@ -105,7 +105,7 @@
     ]);
   });
 
-  it('fetches from a peer that stays ahead, not from one that it catches up with', () => {
+  it('fetches from a peer that remains ahead, not from one that it catches up with', () => {
     const monitor = monitorOf([]);
     monitor.receive('p', { kind: 'ping', revision: 12, ageMs: 0, suspicionDigest: 0 }, OWN, 0);
     expect(firstOf(run(monitor, 50, 400), 'fetch')).to.equal(undefined);
@@ -114,7 +114,7 @@
     expect(monitor.tick(2_500, CAUGHT_UP, [])).to.deep.equal([]);
   });
 
-  it('fetches from the next peer that is as far once a fetch has failed', () => {
+  it('fetches from the next peer at the same revision after a failed fetch', () => {
     const monitor = monitorOf(['p', 'q']);
     monitor.receive('p', { kind: 'acknowledgement', ...CAUGHT_UP }, OWN, 0);
     monitor.receive('q', { kind: 'acknowledgement', ...CAUGHT_UP }, OWN, 100);
@@ -124,13 +124,13 @@
     expect(run(monitor, 1_100, 1_100).at(-1)?.effect).to.deep.equal({ type: 'fetch', from: 'q' });
   });
 
-  it('fetches at once when it holds nothing', () => {
+  it('fetches at once if it has no state', () => {
     const monitor = monitorOf([]);
     monitor.receive('p', { kind: 'ping', revision: 12, ageMs: 0, suspicionDigest: 0 }, NOTHING, 0);
     expect(monitor.tick(0, NOTHING, [])).to.deep.equal([{ type: 'fetch', from: 'p' }]);
   });
 
-  it('forgets machines that are gone', () => {
+  it('removes the state of machines that have left', () => {
     const monitor = monitorOf();
     run(monitor, 0, 1_500, 0);
     monitor.setPeers([]);
@@ -139,7 +139,7 @@
 });
 
 describe('datagrams between peers', () => {
-  it('reads what it writes, and nothing else', () => {
+  it('are decoded as they were encoded; malformed ones are refused', () => {
     const datagram = {
       kind: 'ping',
       revision: 123_456_789,
--- a/test/peers/restored-feed.test.ts
+++ b/test/peers/restored-feed.test.ts
@@ -8,13 +8,13 @@
 const LINK_BYTES_PER_S = 10_000_000;
 const KEY = 'servers/i-1';
 
-describe('feeds of nodes whose store comes back from an older copy', () => {
+describe('feeds of nodes whose store is restored from a backup', () => {
   let fleet: DeliveryFleet;
 
   afterEach(() => fleet.close());
 
   // Guards against feeds that send nothing to followers at a higher revision of the lost history.
-  it('tell that an endpoint drains, at a revision that was given out before the copy came back', async () => {
+  it('send a draining state at a revision that was already used before the restore', async () => {
     fleet = await DeliveryFleet.start({ machines: MACHINES, linkBytesPerS: LINK_BYTES_PER_S });
     await fleet.deliver('ready', KEY);
     const backup = fleet.store.backup();
--- a/test/peers/slow-feeds.test.ts
+++ b/test/peers/slow-feeds.test.ts
@@ -1,9 +1,9 @@
 /**
- * Feeds that are slow to begin, and feeds that go silent.
+ * Feeds whose first message is late, and feeds that become unresponsive.
  *
- * What happened: nodes whose links were full of uploads went from feed to feed, with state that was up to
- * 20 s old. Each feed was given up before it had begun, since the link's queue took longer than the
- * time to open it, and a try of the store itself is drawn from a time that grows with the zone.
+ * Guards against nodes whose links are saturated by uploads changing from feed to feed, with state up to 20 s
+ * old. The queueing delay of the link exceeds the opening timeout, so that each feed is closed before its first
+ * message, and the delay before a read of the store itself grows with the size of the zone.
  */
 import { expect } from 'chai';
 import { SourceChoice, type SourceEffect } from '../../src/peers/source-choice.js';
@@ -14,13 +14,13 @@
 const ROUND_MS = 600;
 const PEERS = Array.from({ length: 16 }, (_none, idx) => `10.0.0.${idx}`);
 
-/** One node that may follow any of its peers; what they say takes `lateMs` to arrive. */
+/** One node that may follow any of its peers, whose messages arrive after `delayMs`. */
 class Follower {
   readonly choice = new SourceChoice(SELF, () => 0.9, 1);
   readonly followed: string[] = [];
-  oldestMs = 0;
+  maxAgeMs = 0;
   delayMs = STEP_MS;
-  /** Feeds opened before this time say nothing more. */
+  /** Feeds opened before this time send nothing more. */
   silentBeforeMs = -Infinity;
   private nowMs = 0;
   private confirmation = 0;
@@ -60,11 +60,11 @@
     }
     if (nowMs % TICK_MS === 0) {
       choice.tick(nowMs).forEach((effect) => this.execute(effect));
-      this.oldestMs = Math.max(this.oldestMs, choice.freshness(nowMs).ageMs);
+      this.maxAgeMs = Math.max(this.maxAgeMs, choice.freshness(nowMs).ageMs);
     }
   }
 
-  /** The first message comes after a round trip to open the connection and one for the feed. */
+  /** The first message arrives after one round trip for the connection and one for the feed. */
   private receiveFeed(): void {
     if (this.feed === undefined || this.feed.openedAtMs < this.silentBeforeMs) {
       return;
@@ -87,37 +87,37 @@
   }
 }
 
-describe('a node whose feeds are slow to begin', () => {
+describe('a node whose feeds are slow to open', () => {
   for (const delayMs of [300, 600, 1_200]) {
-    it(`waits for one of them, and its state stays young (${delayMs} ms)`, () => {
+    it(`waits for one of them and keeps its state fresh (${delayMs} ms)`, () => {
       const follower = new Follower();
       follower.run(5_000);
       expect(follower.followed.length).to.be.below(3);
       follower.delayMs = delayMs;
       follower.silentBeforeMs = 5_000;
       follower.run(30_000);
-      expect(follower.oldestMs).to.be.below(6_000);
+      expect(follower.maxAgeMs).to.be.below(6_000);
       expect(follower.followed.length).to.be.below(6);
     });
   }
 
-  it('leaves a feed that goes silent for another one in time for a configuration', () => {
+  it('replaces an unresponsive feed within the time limit for a configuration', () => {
     const follower = new Follower();
     follower.run(5_000);
     follower.silentBeforeMs = 5_000;
     follower.run(10_000);
-    expect(follower.oldestMs).to.be.below(2_000);
+    expect(follower.maxAgeMs).to.be.below(2_000);
     expect(follower.openedAtMs - 5_000).to.be.below(1_500);
   });
 });
 
-describe('a node whose feed has a message on its way', () => {
+describe('a node whose feed is transferring a message', () => {
   const OTHER = PEERS[8] ?? '';
   let choice: SourceChoice;
   let peer: string;
   let nowMs: number;
 
-  /** Time passes; bytes of one message come each tick where `hasBytes`. Gives what was done. */
+  /** Advances the time; if `hasBytes`, bytes of one message arrive with each tick. Returns the effects. */
   function run(durationMs: number, hasBytes: boolean): SourceEffect[] {
     const effects: SourceEffect[] = [];
     for (const endMs = nowMs + durationMs; nowMs < endMs;) {
@@ -147,14 +147,14 @@
     choice.tick(nowMs);
   });
 
-  it('keeps it while bytes come, though its state grows old and another peer is fresh', () => {
+  it('keeps the feed while bytes arrive, although its state is stale and another peer is fresh', () => {
     const effects = run(4_500, true);
     expect(choice.freshness(nowMs).ageMs).to.be.above(4_000);
     expect(choice.followedPeer).to.equal(peer);
     expect(effects.filter(({ type }) => type === 'stop-following')).to.deep.equal([]);
   });
 
-  it('asks the store beside it once its state is old', () => {
+  it('also reads the store once its state is stale', () => {
     const zoneSize = 2;
     choice.setPosition({
       predecessors: PEERS,
@@ -165,27 +165,27 @@
     expect(run(4_500, true)).to.deep.include({ type: 'read' });
   });
 
-  it('leaves it once no bytes come any more', () => {
+  it('changes to another feed once no more bytes arrive', () => {
     run(900, true);
     const effects = run(1_200, false);
     expect(effects[0]).to.have.nested.property('failure.reason', 'silent');
     expect(effects[1]).to.deep.equal({ type: 'follow', peer: OTHER });
   });
 
-  it('keeps it after a pause of the process that outlasts all bounds', () => {
+  it('keeps the feed after the process was suspended for longer than all timeouts', () => {
     run(900, true);
     nowMs += 10_000;
     expect(choice.tick(nowMs).filter(({ type }) => type === 'stop-following')).to.deep.equal([]);
   });
 
-  it('leaves it when the message does not become whole for long', () => {
+  it('changes to another feed if the message is not completed within the transfer limit', () => {
     const effects = run(5_400, true);
     expect(effects[0]).to.have.nested.property('failure.reason', 'slow');
     expect(choice.followedPeer).to.equal(OTHER);
   });
 });
 
-describe('a node that has to read in the place of those before it', () => {
+describe('a node that becomes a reader because its predecessors are gone', () => {
   it('keeps its feed until the store has answered', () => {
     const choice = new SourceChoice(SELF, () => 0.99, 1);
     choice.setPosition({
--- a/test/peers/source-choice.test.ts
+++ b/test/peers/source-choice.test.ts
@@ -1,11 +1,11 @@
-/** Who reads the store and who follows whom: bounds on readers and calls, and how soon all know. */
+/** Choice of readers and feeds: limits on the number of readers and store calls, and the propagation time. */
 import { expect } from 'chai';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { ReaderOrder } from '../../src/peers/reader-order.js';
 import { SourceWorld } from './source-world.js';
 
-/** Time in which a change has to be known, in milliseconds: the least that users ask for. */
+/** Time within which every node must have a change, in milliseconds; the strictest user requirement. */
 const APPLY_MS = 2_000;
 const SETTLED_MS = 8_000;
 const MAX_READERS = 12;
@@ -24,8 +24,8 @@
   { machines: 1_800, zones: 6, maxReaders: 12 },
 ];
 
-describe('order of the readers of a zone', () => {
-  it('is the same for all, whatever the order of the list, and has a first without any ahead', () => {
+describe('ReaderOrder', () => {
+  it('gives each node a distinct position, whatever the order of the list', () => {
     const machines = ['a', 'b', 'c', 'd'].map((address) => ({ address, zone: 'z' }));
     const lengths = machines.map(
       (self) => new ReaderOrder(self).positionAmong([...machines].reverse()).predecessors.length,
@@ -33,7 +33,7 @@
     expect(lengths.sort()).to.deep.equal([0, 1, 2, 3]);
   });
 
-  it('leaves out other zones, and gives few zones more readers each', () => {
+  it('ignores machines of other zones and assigns more readers per zone if there are few zones', () => {
     const machines = [
       { address: 'a', zone: 'z' },
       { address: 'b', zone: 'y' },
@@ -45,9 +45,9 @@
   });
 });
 
-describe('sources of the nodes of a fleet', () => {
+describe('the sources of a fleet', () => {
   for (const { machines, zones, maxReaders } of sizes) {
-    it(`lets at most ${maxReaders} of ${machines} nodes read, and tells all at once`, () => {
+    it(`have at most ${maxReaders} readers for ${machines} nodes and deliver changes at once`, () => {
       const world = settled(machines, zones);
       expect(world.readers.length).to.be.within(1, maxReaders);
       expect(world.change(APPLY_MS)).to.be.below(200);
@@ -55,17 +55,17 @@
   }
 
   for (const how of ['reset', 'dark'] as const) {
-    it(`tells all in time although all readers end together (${how})`, () => {
+    it(`deliver a change in time although all readers fail together (${how})`, () => {
       const world = settled(195, 6);
       world.kill(world.readers, how);
       expect(world.change(APPLY_MS)).to.be.below(APPLY_MS);
       world.run(SETTLED_MS);
-      // The dead are still listed, so each is tried again every other second.
+      // The failed nodes are still listed, so each is tried again every two seconds.
       expect(world.readers.length).to.be.within(1, 2 * MAX_READERS);
     });
   }
 
-  it('tells all in time although two thirds end together and come back', () => {
+  it('deliver a change in time although two thirds of the nodes fail together and restart', () => {
     const world = settled(195, 6);
     const ended = world.nodes.filter((_, idx) => idx % 3 !== 0);
     world.kill(ended, 'dark');
@@ -77,7 +77,7 @@
     expect(world.readers.length).to.be.within(1, MAX_READERS);
   });
 
-  it('gets round readers that the store turns away while it serves others', () => {
+  it('replace readers that the store refuses while it serves others', () => {
     const world = settled(195, 6);
     const refused = new Set(world.readers.map(({ address }) => address));
     world.storeFor = (address) => (refused.has(address) ? 'refuses' : 'serves');
@@ -88,7 +88,7 @@
     expect(others.length).to.be.within(1, 30);
   });
 
-  it('gets round a store that says nothing to a third of the machines', () => {
+  it('deliver a change in time although the store does not answer some of the machines', () => {
     const world = settled(195, 6);
     world.storeFor = (address) =>
       address.endsWith('1') || address.endsWith('4') ? 'silent' : 'serves';
@@ -98,7 +98,7 @@
   });
 
   for (const { machines, zones } of sizes) {
-    it(`asks a store that is away a bounded number of times a second (${machines} nodes)`, () => {
+    it(`call an unavailable store a bounded number of times per second (${machines} nodes)`, () => {
       const world = settled(machines, zones);
       world.storeFor = () => 'refuses';
       world.run(3_000);
@@ -114,7 +114,7 @@
   }
 
   for (const seed of [1, 2, 3, 4, 5]) {
-    it(`always comes back to few readers and quick changes, whatever was refused (seed ${seed})`, () => {
+    it(`return to few readers and fast delivery after any refusals and failures (seed ${seed})`, () => {
       const generator = xoroshiro128plus(seed);
       const random = () => uniformFloat64(generator);
       const world = settled(74, 3, seed);
--- a/test/peers/source-world.ts
+++ b/test/peers/source-world.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet of {@link SourceChoice} under a virtual clock: a store with faults, feeds, gossip and kills.
- * A node's state is reduced to the revision up to which it is complete.
+ * Simulates a fleet of {@link SourceChoice} with a virtual clock, store faults, feeds, gossip and node failures.
+ * A node's state is modelled as the revision up to which it is complete.
  */
 import { PeerMonitor } from '../../src/peers/peer-monitor.js';
 import { ReaderOrder } from '../../src/peers/reader-order.js';
@@ -24,7 +24,7 @@
   isReading: boolean;
   isAlive: boolean;
   revision: number;
-  /** When the call that is under way began; undefined while none is. */
+  /** When the pending call to the store began; undefined if there is none. */
   calledAtMs: number | undefined;
   nextCallAtMs: number;
   readonly followers: Set<FleetNode>;
@@ -37,7 +37,6 @@
   readonly random: () => number;
 }
 
-/** The fleet. */
 export class SourceWorld {
   readonly nodes: FleetNode[] = [];
   revision = 1;
@@ -55,13 +54,13 @@
     this.nodes.forEach((node) => this.setPosition(node));
   }
 
-  /** Readers among the nodes that live. */
+  /** Readers among the running nodes. */
   get readers(): FleetNode[] {
     return this.nodes.filter(({ isAlive, isReading }) => isAlive && isReading);
   }
 
-  /** Nodes that live and lack the newest revision. */
-  get behind(): number {
+  /** Number of running nodes that lack the newest revision. */
+  get outdatedCount(): number {
     return this.nodes.filter(({ isAlive, revision }) => isAlive && revision < this.revision).length;
   }
 
@@ -73,17 +72,17 @@
     }
   }
 
-  /** Writes to the store; runs until all know, or `limitMs` are over; gives the time that it took. */
+  /** Writes to the store and runs until all nodes have the change or `limitMs` have passed; returns the time. */
   change(limitMs: number): number {
     this.revision += 1;
     const startMs = this.nowMs;
-    while (this.behind > 0 && this.nowMs - startMs < limitMs) {
+    while (this.outdatedCount > 0 && this.nowMs - startMs < limitMs) {
       this.run(STEP_MS);
     }
     return this.nowMs - startMs;
   }
 
-  /** Kills nodes. Their feeds end at once, or say nothing more (`dark`). */
+  /** Kills nodes. Their feeds end at once (`reset`) or become unresponsive (`dark`). */
   kill(nodes: readonly FleetNode[], how: 'reset' | 'dark'): void {
     for (const node of nodes) {
       node.isAlive = false;
@@ -94,7 +93,7 @@
     }
   }
 
-  /** Starts killed nodes anew. */
+  /** Restarts killed nodes. */
   revive(nodes: readonly FleetNode[]): void {
     for (const node of nodes) {
       Object.assign(node, this.freshState(node.address));
@@ -227,7 +226,7 @@
     }
   }
 
-  /** A peer that is dead says nothing, one that is full refuses. */
+  /** A killed peer does not answer, and one with too many followers refuses. */
   private follow(node: FleetNode, peer: FleetNode | undefined): void {
     if (peer?.isAlive !== true) {
       return;
--- a/test/peers/suspicion-gossip.test.ts
+++ b/test/peers/suspicion-gossip.test.ts
@@ -1,4 +1,4 @@
-/** How soon all machines know of a request, by fleet size, lost datagrams, cuts and starts. */
+/** Time until all machines have contained a request, by fleet size, datagram loss, partitions and starts. */
 import { expect } from 'chai';
 import type { Suspicion } from '../../src/containment/suspicion.js';
 import { SuspicionTable } from '../../src/containment/suspicion-table.js';
@@ -15,10 +15,10 @@
   readonly gossip: SuspicionGossip;
   nextPingAtMs: number;
   isUp: boolean;
-  knewAtMs: number | undefined;
+  containedAtMs: number | undefined;
 }
 
-/** Nodes that gossip over datagrams, of which some are lost. */
+/** Nodes that gossip over lossy datagrams. */
 class GossipWorld {
   nowMs = 0;
   sentCount = 0;
@@ -46,7 +46,7 @@
       list: () => table.list(this.nowMs),
     });
     const nextPingAtMs = this.nowMs + this.random() * PING_INTERVAL_MS;
-    const node = { table, gossip, nextPingAtMs, isUp: true, knewAtMs: undefined };
+    const node = { table, gossip, nextPingAtMs, isUp: true, containedAtMs: undefined };
     this.nodes.set(name, node);
     return node;
   }
@@ -73,8 +73,8 @@
     }
   }
 
-  /** How many of the nodes that are up have contained the request. */
-  get knowing(): number {
+  /** Number of running nodes that have contained the request. */
+  get containedCount(): number {
     return [...this.nodes.values()].filter(
       ({ table, isUp }) => isUp && table.standingOf(GUILTY, this.nowMs) === 'contained',
     ).length;
@@ -82,12 +82,12 @@
 
   private recordKnowledge(): void {
     for (const node of this.nodes.values()) {
-      const knows = node.table.standingOf(GUILTY, this.nowMs) === 'contained';
-      node.knewAtMs ??= knows ? this.nowMs : undefined;
+      const isContained = node.table.standingOf(GUILTY, this.nowMs) === 'contained';
+      node.containedAtMs ??= isContained ? this.nowMs : undefined;
     }
   }
 
-  /** Each node pings one other at its times; both learn the digest of the other. */
+  /** Each node periodically pings a random node; both then receive the other's digest. */
   private ping(): void {
     const names = [...this.nodes.keys()];
     for (const [name, node] of this.nodes) {
@@ -128,28 +128,28 @@
   }
 }
 
-describe('gossip of requests under suspicion', () => {
+describe('SuspicionGossip', () => {
   for (const size of [13, 74, 195, 1_800]) {
-    it(`reaches 99.9% of ${size} machines within a second, at the same cost for each`, () => {
+    it(`reaches 99.9% of ${size} machines within a second, at a constant cost per machine`, () => {
       const world = new GossipWorld(size, size);
       [1, 2, 3].forEach((crash) => world.recordCrash(`n${crash}`, crash));
       world.runFor(1_000);
-      expect(world.knowing).to.be.at.least(Math.floor(size * 0.999));
+      expect(world.containedCount).to.be.at.least(Math.floor(size * 0.999));
       world.runFor(1_000);
-      expect(world.knowing).to.equal(size);
-      // Three crashes, each told to four by each node, and the answers to digests that differ.
+      expect(world.containedCount).to.equal(size);
+      // Each node forwards three crashes to four peers each and answers differing digests.
       expect(world.sentCount / size).to.be.below(16);
     }).timeout(60_000);
   }
 
-  it('reaches all in two seconds where a fifth of the datagrams is lost', () => {
+  it('reaches all machines within two seconds if a fifth of the datagrams is lost', () => {
     const world = new GossipWorld(195, 7, 0.2);
     [1, 2, 3].forEach((crash) => world.recordCrash(`n${crash}`, crash));
     world.runFor(2_000);
-    expect(world.knowing).to.equal(195);
+    expect(world.containedCount).to.equal(195);
   });
 
-  it('is caught up with by machines that were cut off or start later, within two seconds', () => {
+  it('reaches machines that were partitioned or start later within two seconds', () => {
     const world = new GossipWorld(74, 8);
     const cutOff = [...world.nodes.values()].slice(10, 30);
     cutOff.forEach((node) => {
@@ -164,10 +164,10 @@
     world.start('new');
     world.updatePeers();
     world.runFor(2_000);
-    expect(world.knowing).to.equal(75);
+    expect(world.containedCount).to.equal(75);
   });
 
-  it('says nothing more once all know the same', () => {
+  it('sends nothing more once all machines have the same suspicions', () => {
     const world = new GossipWorld(13, 9);
     [1, 2, 3].forEach((crash) => world.recordCrash(`n${crash}`, crash));
     world.runFor(2_000);
@@ -176,7 +176,7 @@
     expect(world.sentCount).to.equal(sentCount);
   });
 
-  it('keeps to its bound of bytes when there is much to tell', () => {
+  it('limits the size of an answer if there are many suspicions', () => {
     const table = new SuspicionTable();
     for (let number = 0; number < 500; number += 1) {
       table.recordCrash(
--- a/test/platform/change-feed.test.ts
+++ b/test/platform/change-feed.test.ts
@@ -12,7 +12,7 @@
   encodeFeedMessage,
   type FeedMessage,
 } from '../../src/peers/feed-message.js';
-import { DeltaTextCache, encodeDelta } from '../../src/peers/delta-codec.js';
+import { DeltaCache, encodeDelta } from '../../src/peers/delta-codec.js';
 import { StoreReplica } from '../../src/store/store-replica.js';
 import { pause, PlatformFleet, type FleetMachine } from './platform-fleet.js';
 
@@ -94,7 +94,7 @@
   beforeEach(async () => {
     replica = new StoreReplica();
     replica.takeChanges([{ key: 'a', revision: 1, value: '1' }], 1);
-    feed = new ChangeFeed({ replica, deltas: new DeltaTextCache(replica), freshness: () => FRESHNESS });
+    feed = new ChangeFeed({ replica, deltas: new DeltaCache(replica), freshness: () => FRESHNESS });
     server = http.createServer((request, response) => {
       feed.subscribe(response, Number((request.url ?? '').slice(FEED_PATH.length)));
     });
@@ -154,7 +154,7 @@
     const empty = new StoreReplica();
     feed = new ChangeFeed({
       replica: empty,
-      deltas: new DeltaTextCache(empty),
+      deltas: new DeltaCache(empty),
       freshness: () => FRESHNESS,
     });
     const refused: (FeedMessage | string)[] = [];
--- a/test/runtime/reset-sockets.test.ts
+++ b/test/runtime/reset-sockets.test.ts
@@ -13,7 +13,7 @@
 import { createInternalServer } from '../../src/runtime/internal-server.js';
 import { Metrics } from '../../src/runtime/metrics.js';
 import { createReadinessServer } from '../../src/runtime/readiness-server.js';
-import { DeltaTextCache } from '../../src/peers/delta-codec.js';
+import { DeltaCache } from '../../src/peers/delta-codec.js';
 import { StoreReplica } from '../../src/store/store-replica.js';
 import { openApi } from '../api/api-fixture.js';
 import { TestMesh } from '../proxy/rig.js';
@@ -76,7 +76,7 @@
 
 function internal(): Promise<Served> {
   const replica = new StoreReplica();
-  const deltas = new DeltaTextCache(replica);
+  const deltas = new DeltaCache(replica);
   const feed = new ChangeFeed({ replica, deltas, freshness: () => ({ ageMs: 0 }) as never });
   const suspicions = { report: () => [], release: () => false };
   return listening(createInternalServer({ metrics: new Metrics(), deltas, feed, suspicions }));
--- a/test/transport/link-preference.test.ts
+++ b/test/transport/link-preference.test.ts
@@ -8,7 +8,7 @@
 
 type Choose = typeof chooseLink;
 
-/** The dialer of the link that a node holds after it saw both open, in the order given. */
+/** Returns the dialer of the link that a node keeps after both links opened in the given order. */
 function kept(choose: Choose, own: string, peer: string, dialers: readonly string[]): string {
   let held: string | undefined;
   for (const dialer of dialers) {
@@ -37,7 +37,7 @@
 }
 
 describe('link preference', () => {
-  it('gives both ends the same link in every order', () => {
+  it('makes both ends keep the same link in every order', () => {
     expect(bothEndsAgree(chooseLink)).to.equal(true);
   });
 
@@ -47,7 +47,7 @@
     ['the own', (_held, candidate) => (candidate.role === 'dialer' ? 'replace' : 'duplicate')],
   ];
   for (const [name, mutant] of mutants) {
-    it(`would not, if each end kept ${name}`, () => {
+    it(`would differ between the ends if each kept ${name} link`, () => {
       expect(bothEndsAgree(mutant)).to.equal(false);
     });
   }
--- a/test/transport/peer-transport-faults.test.ts
+++ b/test/transport/peer-transport-faults.test.ts
@@ -11,7 +11,7 @@
 const HELLO = dialerHandshake('z').hello();
 const WRONG_KEY = 'not the key of the fleet';
 
-/** A frame of the body as `FrameReader` gave it. */
+/** Adds the length prefix back to a body that `FrameReader` returned. */
 function reframe(body: Buffer): Buffer {
   const prefix = Buffer.alloc(3);
   prefix.writeUIntBE(body.length, 0, 3);
@@ -24,7 +24,7 @@
   return changed;
 }
 
-/** Handshakes are given little time only where that is what ends them. */
+/** Uses a short handshake timeout only in tests that expect a timeout. */
 function limitsFor(reason: string): Partial<TransportLimits> {
   return reason === 'timeout' ? { handshakeTimeoutMs: 300 } : {};
 }
@@ -51,7 +51,7 @@
     [
       'wrong key',
       'wrong_key',
-      (raw) => raw.prove(dialerHandshake('z', 1, WRONG_KEY)).catch(swallow),
+      (raw) => raw.prove(dialerHandshake('z', 1, WRONG_KEY)).catch(ignoreError),
     ],
     ['a message after hello', 'malformed', write(Buffer.concat([HELLO, encodeMessage(HEARTBEAT)]))],
     ['a replayed hello and proof', 'wrong_key', replay],
@@ -59,7 +59,7 @@
     ["the node's own proof, reflected", 'self', reflect],
   ];
   for (const [name, reason, attack] of attacks) {
-    it(`closes only the connection that brings: ${name}`, async () => {
+    it(`closes only the faulty connection: ${name}`, async () => {
       const [good, node] = await bench.pair(limitsFor(reason));
       const raw = await bench.rawClient(node.address);
       await attack(raw, node);
@@ -73,7 +73,7 @@
     });
   }
 
-  it('tells a dialer of another version why it is refused', async () => {
+  it('sends the reason for the refusal to a dialer of another version', async () => {
     const node = await bench.node('a');
     const raw = await bench.rawClient(node.address);
     raw.socket.write(otherVersion(HELLO));
@@ -85,7 +85,7 @@
     return (raw) => raw.socket.write(bytes);
   }
 
-  /** Listens in on a good handshake, then sends the dialer's bytes again. */
+  /** Records a valid handshake, then replays the dialer's bytes. */
   async function replay(raw: RawPeer, node: TestNode): Promise<void> {
     const handshake = dialerHandshake('y');
     const first = await bench.rawClient(node.address);
@@ -93,14 +93,14 @@
     raw.socket.write(Buffer.concat([handshake.hello(), proof]));
   }
 
-  /** Changes the identity under a good proof. */
+  /** Changes the identity in a frame with a valid proof. */
   async function claimOther(raw: RawPeer): Promise<void> {
     const proof = await raw.dialerProof(dialerHandshake('z'));
     proof[proof.indexOf('z')] = 'y'.charCodeAt(0);
     raw.socket.write(proof);
   }
 
-  /** Lets the node dial, and hands each side of its two handshakes the frames of the other. */
+  /** Makes the node dial, and forwards frames between its two handshakes. */
   async function reflect(raw: RawPeer, node: TestNode): Promise<void> {
     const dialled = new Promise<RawPeer>((resolve) => {
       void bench
@@ -132,8 +132,8 @@
     ['resets', 'closed', (socket) => socket.resetAndDestroy()],
     ['sends noise', 'malformed', (socket) => socket.write(Buffer.alloc(64, 0xa5))],
     ['sends a message', 'malformed', (socket) => socket.write(encodeMessage(HEARTBEAT))],
-    ['says nothing', 'timeout', () => undefined],
-    ['gives back the proof', 'wrong_key', (socket) => void echoProof(socket)],
+    ['sends nothing', 'timeout', () => undefined],
+    ['echoes the proof', 'wrong_key', (socket) => void echoProof(socket)],
   ];
   for (const [name, reason, onSocket] of listeners) {
     it(`fails the dial of a listener that ${name}`, async () => {
@@ -146,7 +146,7 @@
     });
   }
 
-  /** Answers the hello with a challenge and the dialer's proof with the same proof. */
+  /** Replies to the hello with a challenge, and echoes the dialer's proof. */
   async function echoProof(socket: Socket): Promise<void> {
     const peer = new RawPeer(socket);
     await peer.frame();
@@ -157,22 +157,22 @@
   }
 });
 
-describe('a sealed link against who sits on its path', () => {
+describe('a sealed link against an attacker on the network path', () => {
   const bench = new Bench();
   afterEach(() => bench.close());
 
   type Tamper = (bodies: readonly Buffer[]) => Buffer[];
   const tampers: readonly [string, Tamper, ...number[]][] = [
-    ['changes a bit', ([first, ...rest]) => [flipped(first), ...rest]],
+    ['flips a bit', ([first, ...rest]) => [flipped(first), ...rest]],
     ['changes the tag', ([first, ...rest]) => [flipped(first, -1), ...rest]],
-    ['repeats a frame', ([first, ...rest]) => (first ? [first, first, ...rest] : []), 1],
-    ['leaves a frame out', ([, ...rest]) => rest],
+    ['replays a frame', ([first, ...rest]) => (first ? [first, first, ...rest] : []), 1],
+    ['drops a frame', ([, ...rest]) => rest],
     ['swaps two frames', ([first, second]) => (first && second ? [second, first] : [])],
-    ['adds a frame', (bodies) => [Buffer.from(encodeMessage(HEARTBEAT).subarray(3)), ...bodies]],
-    ['adds a frame without a tag', (bodies) => [Buffer.alloc(4, 0x20), ...bodies]],
+    ['injects a frame', (bodies) => [Buffer.from(encodeMessage(HEARTBEAT).subarray(3)), ...bodies]],
+    ['injects a frame without a tag', (bodies) => [Buffer.alloc(4, 0x20), ...bodies]],
   ];
   for (const [name, tamper, ...delivered] of tampers) {
-    it(`closes when it ${name}`, async () => {
+    it(`is closed if the attacker ${name}`, async () => {
       const [a, b] = [await bench.node('a'), await bench.node('b')];
       a.transport.dial(await proxy(b.address, tamper));
       await Promise.all([a.until(() => a.up().length === 1), b.until(() => b.up().length === 1)]);
@@ -185,7 +185,7 @@
     });
   }
 
-  it('shows nothing of a message on the path', async () => {
+  it('encrypts messages', async () => {
     const captured: Buffer[] = [];
     const [a, b] = [await bench.node('a'), await bench.node('b')];
     a.transport.dial(await proxy(b.address, (bodies) => [...bodies], captured));
@@ -204,7 +204,7 @@
     return changed;
   }
 
-  /** Passes all on, but hands the dialer's two frames after its hello and proof to `tamper`. */
+  /** Forwards all bytes, except that the dialer's two frames after its hello and proof pass through `tamper`. */
   function proxy(
     target: PeerAddress,
     tamper: Tamper,
@@ -238,6 +238,6 @@
   }
 });
 
-function swallow(): void {
+function ignoreError(): void {
   return;
 }
--- a/test/transport/peer-transport.test.ts
+++ b/test/transport/peer-transport.test.ts
@@ -14,16 +14,16 @@
   type TestNode,
 } from './transport-helpers.js';
 
-/** Declared counters that do not depend on the messages of the protocol. */
+/** Number of declared counters that do not depend on the message types. */
 const OTHER_COUNTERS = 28;
-/** Messages and bytes, sent and received. */
+/** Counters of messages and of bytes, sent and received. */
 const COUNTERS_PER_MESSAGE = 4;
 
 describe('peer transport', () => {
   const bench = new Bench();
   afterEach(() => bench.close());
 
-  it('carries messages both ways, in order, and counts their bytes by type', async () => {
+  it('delivers messages in order in both directions and counts their bytes by type', async () => {
     const [a, b] = await bench.pair();
     expect(a.of('peer-up')[0]?.peer).to.deep.equal(b.transport.identity);
     expect(b.of('peer-up')[0]?.peer).to.deep.equal(a.transport.identity);
@@ -44,7 +44,7 @@
     );
   });
 
-  it('tells of no peer and sends nothing before both proofs', async () => {
+  it('reports no peer and sends no messages before both proofs', async () => {
     const node = await bench.node('a');
     const raw = await bench.rawClient(node.address);
     const proof = await raw.dialerProof(dialerHandshake('z'));
@@ -55,7 +55,7 @@
     expect(node.transport.send('z', lease(1))).to.equal(true);
   });
 
-  it('delivers what was sent before a hang-up and a stop', async () => {
+  it('delivers messages that were sent before a hang-up or a stop', async () => {
     const [a, b] = await bench.pair();
     a.transport.send('b', lease(1));
     a.transport.hangUp('b');
@@ -73,7 +73,7 @@
     expect(a.events).to.have.length(events);
   });
 
-  it('answers every dial once', async () => {
+  it('reports exactly one result for every dial', async () => {
     const [a, b] = [await bench.node('a'), await bench.node('b')];
     const gone = await bench.node('gone');
     const goneAddress = gone.address;
@@ -92,7 +92,7 @@
     expect(a.of('dial-failed')).to.have.length(5);
   });
 
-  it('keeps the same link at both ends when both dial at once', async () => {
+  it('keeps the same link at both ends if both dial simultaneously', async () => {
     for (let round = 0; round < 20; round += 1) {
       const [a, b] = [await bench.node('a'), await bench.node('b')];
       a.transport.dial(b.address);
@@ -108,7 +108,7 @@
     }
   });
 
-  it('lets a new incarnation replace the old one, and refuses an older one', async () => {
+  it('replaces the link of an older incarnation and refuses an outdated one', async () => {
     const node = await bench.node('a');
     const old = await bench.node('b', { incarnation: 5 });
     const fresh = await bench.node('b', { incarnation: 6 });
@@ -135,7 +135,7 @@
     ]);
   });
 
-  it('knows itself behind another address', async () => {
+  it('refuses a link to its own identity at another address', async () => {
     const node = await bench.node('a');
     const twin = await bench.node('a');
     node.transport.dial(twin.address);
@@ -143,7 +143,7 @@
     expect([node.refused('self'), twin.refused('self')]).to.deep.equal([1, 1]);
   });
 
-  it('bounds accepted links and leaves those that are there alone', async () => {
+  it('limits accepted links and keeps the existing ones', async () => {
     const node = await bench.node('a', { limits: { maxInboundLinks: 1 } });
     const [b, c] = [await bench.node('b'), await bench.node('c')];
     b.transport.dial(node.address);
@@ -157,7 +157,7 @@
     await b.untilRounds(1);
   });
 
-  it('bounds unproven connections; the oldest gives way to a peer that proves itself', async () => {
+  it('limits unproven connections and evicts the oldest for a peer that proves itself', async () => {
     const node = await bench.node('a', { limits: { maxUnprovenConnections: 2 } });
     const idle = [await bench.rawClient(node.address), await bench.rawClient(node.address)];
     const b = await bench.node('b');
@@ -168,7 +168,7 @@
     expect(idle[1]?.closed).to.equal(false);
   });
 
-  it('hangs up a peer that does not read, at the bound on waiting bytes', async () => {
+  it('closes the link to a peer that does not read, at the limit on buffered bytes', async () => {
     const node = await bench.node('a', { limits: { maxBufferedBytes: 262_144 } });
     const raw = await bench.rawClient(node.address);
     await raw.prove(dialerHandshake('z'));
@@ -187,7 +187,7 @@
     expect(node.count('ferryspool_peer_links_slow_total')).to.equal(1);
   });
 
-  it('drops a message that no frame can hold, and keeps the link', async () => {
+  it('drops a message that exceeds the frame size and keeps the link', async () => {
     const [a, b] = await bench.pair();
     const version = { number: 1, digest: '0'.repeat(32) };
     const reason = 'x'.repeat(1_048_576);
@@ -197,7 +197,7 @@
     await b.untilRounds(1);
   });
 
-  it('declares every counter that it adds to', async () => {
+  it('declares every counter that it increments', async () => {
     const declared = new Set<string>();
     declareTransportCounters((name) => declared.add(name));
     const [a, b] = await bench.pair();
@@ -229,7 +229,7 @@
     const good = { tls: certificates('') };
     const foreign = { tls: certificates('other-') };
 
-    it('carries messages, without a tag on each', async () => {
+    it('delivers messages without a tag per frame', async () => {
       const [a, b] = [await bench.node('a', good), await bench.node('b', good)];
       a.transport.dial(b.address);
       await Promise.all([a.until(() => a.up().length === 1), b.until(() => b.up().length === 1)]);
@@ -263,14 +263,14 @@
       });
     }
 
-    it('does not wait for a TLS handshake without end', async () => {
+    it('times out a TLS handshake that is not completed', async () => {
       const node = await bench.node('a', { ...good, limits: { handshakeTimeoutMs: 100 } });
       const raw = await bench.rawClient(node.address);
       await raw.untilClosed();
       await node.until(() => node.refused('tls') === 1);
     });
 
-    it('refuses a relay that holds a certificate and passes the proofs on', async () => {
+    it('refuses a relay that holds a certificate and forwards the proofs', async () => {
       const [a, b] = [await bench.node('a', good), await bench.node('b', good)];
       a.transport.dial(await bench.tlsRelay(good.tls, b.address));
       await a.until(() => a.of('dial-failed').length === 1);
@@ -280,7 +280,7 @@
   });
 });
 
-/** Waits until both dials have ended and one link is left. */
+/** Waits until both dials have ended and one link remains. */
 async function untilSettled(node: TestNode, peerId: string): Promise<void> {
   const opened = (): number => node.count('ferryspool_peer_links_opened_total');
   const duplicates = (): number => node.refused('duplicate') + node.refused('closed');
--- a/test/transport/transport-helpers.ts
+++ b/test/transport/transport-helpers.ts
@@ -1,4 +1,4 @@
-/** Transports with recorded events, and hand-driven sockets that misbehave as told. */
+/** Transports with recorded events, and raw sockets that tests drive by hand. */
 import { once } from 'node:events';
 import { readFileSync } from 'node:fs';
 import { connect, createServer, type AddressInfo, type Server, type Socket } from 'node:net';
@@ -20,8 +20,8 @@
 export const FLEET_KEY = 'fleet key of the tests';
 
 export function identity(id: string, incarnation = 1): PeerIdentity {
-  const place = { zone: 'zone-1', region: 'region-1' };
-  return { id, incarnation, address: LOOPBACK, controlPort: 0, relayPort: 1, ...place };
+  const location = { zone: 'zone-1', region: 'region-1' };
+  return { id, incarnation, address: LOOPBACK, controlPort: 0, relayPort: 1, ...location };
 }
 
 export function lease(round: number): PeerMessage {
@@ -38,7 +38,7 @@
   };
 }
 
-/** Checks waiting conditions again whenever something was recorded. */
+/** Resolves promises once their conditions hold; conditions are checked after every recorded change. */
 class Recorder {
   private readonly waiting = new Set<() => void>();
 
@@ -62,7 +62,7 @@
   }
 }
 
-/** A transport under test with what it told and counted. */
+/** A transport under test with its recorded events and counters. */
 export class TestNode implements CounterSink {
   readonly events: TransportEvent[] = [];
   readonly counts = new Map<string, number>();
@@ -99,7 +99,7 @@
     >[];
   }
 
-  /** The identities of the peers that came up and did not go down, as the events say it. */
+  /** The identities of the peers that are up according to the events. */
   up(): string[] {
     const up: string[] = [];
     for (const event of this.events) {
@@ -116,7 +116,7 @@
     return this.recorder.until(condition);
   }
 
-  /** Waits until messages with these rounds have come, in this order, at the end. */
+  /** Waits until the last messages received have these rounds, in this order. */
   async untilRounds(...rounds: number[]): Promise<void> {
     await this.until(() => this.rounds().slice(-rounds.length).join() === rounds.join());
   }
@@ -126,7 +126,7 @@
   }
 }
 
-/** What differs from a plain node. */
+/** Options that differ from the defaults of a node. */
 export interface TestNodeOptions {
   readonly incarnation?: number;
   readonly fleetKey?: string;
@@ -134,7 +134,7 @@
   readonly limits?: Partial<TransportLimits>;
 }
 
-/** Everything that a test started; `close` ends it. */
+/** Starts the nodes and sockets of a test; `close` stops all of them. */
 export class Bench {
   private readonly cleanups: (() => unknown)[] = [];
 
@@ -155,7 +155,7 @@
     return node;
   }
 
-  /** Two nodes, `a` having dialled `b`. */
+  /** Starts two linked nodes; `a` has dialled `b`. */
   async pair(limits: Partial<TransportLimits> = {}): Promise<[TestNode, TestNode]> {
     const [a, b] = [await this.node('a', { limits }), await this.node('b', { limits })];
     a.transport.dial(b.address);
@@ -163,7 +163,7 @@
     return [a, b];
   }
 
-  /** A client socket without any protocol. */
+  /** Opens a client socket without any protocol. */
   async rawClient(target: PeerAddress): Promise<RawPeer> {
     const socket = connect(target.controlPort, target.address);
     const peer = new RawPeer(socket);
@@ -172,7 +172,7 @@
     return peer;
   }
 
-  /** A listener without any protocol; gives its address. */
+  /** Starts a listener without any protocol; returns its address. */
   async rawServer(onSocket: (socket: Socket) => void): Promise<PeerAddress> {
     const server: Server = createServer((socket) => {
       socket.on('error', () => undefined);
@@ -189,7 +189,7 @@
     return { address: LOOPBACK, controlPort: (server.address() as AddressInfo).port };
   }
 
-  /** Ends TLS on both sides with good certificates and passes the bytes on; gives its address. */
+  /** Starts a relay that terminates TLS on both sides with valid certificates; returns its address. */
   async tlsRelay(tls: TransportTls, target: PeerAddress): Promise<PeerAddress> {
     const pem = { cert: tls.certificatePem, key: tls.keyPem, ca: tls.authorityPem };
     const server = createTlsServer({ ...pem, requestCert: true }, (inbound) => {
@@ -209,7 +209,7 @@
   }
 }
 
-/** A socket that frames can be written to and read from by hand. */
+/** A socket whose frames a test writes and reads by hand. */
 export class RawPeer {
   readonly received: Buffer[] = [];
   readonly recorder = new Recorder();
@@ -231,7 +231,7 @@
     });
   }
 
-  /** The body of the next frame, or undefined when the connection closes before it. */
+  /** Returns the body of the next frame, or undefined if the connection closes first. */
   async frame(): Promise<Buffer | undefined> {
     await this.recorder.until(() => this.received.length > 0 || this.closed);
     return this.received.shift();
@@ -241,26 +241,32 @@
     await this.recorder.until(() => this.closed);
   }
 
-  /** Does the dialer's part up to its proof, which is returned and not sent. */
+  /** Performs the dialer's handshake up to its proof, which is returned but not sent. */
   async dialerProof(handshake: Handshake): Promise<Buffer> {
     this.socket.write(handshake.hello());
     const step = handshake.receive((await this.frame()) ?? Buffer.alloc(0));
     return replyOf(step);
   }
 
-  /** Does the dialer's whole part; the transport's proof is checked. */
+  /** Performs the dialer's complete handshake and verifies the transport's proof. */
   async prove(handshake: Handshake): Promise<HandshakeStep> {
     this.socket.write(await this.dialerProof(handshake));
     return handshake.receive((await this.frame()) ?? Buffer.alloc(0));
   }
 }
 
-/** A dialer's side, driven by hand. */
+/** Creates the dialer's side of a handshake that a test drives by hand. */
 export function dialerHandshake(id: string, incarnation = 1, fleetKey = FLEET_KEY): Handshake {
   const nonce = Buffer.alloc(16, id.charCodeAt(0));
   const empty = Buffer.alloc(0);
-  const who = identity(id, incarnation);
-  return new Handshake({ role: 'dialer', fleetKey, identity: who, nonce, channelBinding: empty });
+  const ownIdentity = identity(id, incarnation);
+  return new Handshake({
+    role: 'dialer',
+    fleetKey,
+    identity: ownIdentity,
+    nonce,
+    channelBinding: empty,
+  });
 }
 
 export function replyOf(step: HandshakeStep): Buffer {
