--- a/test/transport/link-preference.test.ts
+++ b/test/transport/link-preference.test.ts
@@ -3,16 +3,16 @@
 import {
   chooseLink,
   type LinkChoice,
-  type LinkFacts,
+  type LinkAttributes,
 } from '../../src/transport/link-preference.js';
 
 type Choose = typeof chooseLink;
 
-/** The dialer of the link that a node holds after it saw both open, in the order given. */
+/** Returns the dialer of the link that a node keeps after both links opened in the given order. */
 function kept(choose: Choose, own: string, peer: string, dialers: readonly string[]): string {
   let held: string | undefined;
   for (const dialer of dialers) {
-    const facts = (id: string): LinkFacts => ({
+    const facts = (id: string): LinkAttributes => ({
       peerIncarnation: 1,
       role: id === own ? 'dialer' : 'acceptor',
     });
@@ -37,7 +37,7 @@
 }
 
 describe('link preference', () => {
-  it('gives both ends the same link in every order', () => {
+  it('makes both ends keep the same link in every order', () => {
     expect(bothEndsAgree(chooseLink)).to.equal(true);
   });
 
@@ -47,12 +47,18 @@
     ['the own', (_held, candidate) => (candidate.role === 'dialer' ? 'replace' : 'duplicate')],
   ];
   for (const [name, mutant] of mutants) {
-    it(`would not, if each end kept ${name}`, () => {
+    it(`would differ between the ends if each kept ${name} link`, () => {
       expect(bothEndsAgree(mutant)).to.equal(false);
     });
   }
 
-  const cases: readonly [LinkFacts['role'], number, LinkFacts['role'], number, LinkChoice][] = [
+  const cases: readonly [
+    LinkAttributes['role'],
+    number,
+    LinkAttributes['role'],
+    number,
+    LinkChoice,
+  ][] = [
     ['dialer', 1, 'dialer', 1, 'replace'],
     ['acceptor', 1, 'acceptor', 1, 'replace'],
     ['dialer', 1, 'acceptor', 1, 'duplicate'],
