--- a/src/membership/neighbour-links.ts
+++ b/src/membership/neighbour-links.ts
@@ -5,7 +5,7 @@
 import type { ControlEffect, CounterSink } from '../control/control-event.js';
 import { CONTROL_COUNTERS } from '../control/control-counters.js';
 import type { HeartbeatMessage, MemberUpdate } from '../wire/message.js';
-import { NOTHING_HELD_DIGEST } from '../wire/versions-digest.js';
+import { EMPTY_VERSIONS_DIGEST } from '../wire/versions-digest.js';
 import type { MachineIndex } from './machine-index.js';
 import type { MemberTable } from './member-table.js';
 import { Overlay, type OverlayOptions } from './overlay.js';
@@ -208,7 +208,7 @@
     for (const peer of this.neighbours()) {
       updates.push({ member: peer, status: 'alive' });
     }
-    if (message.versionsDigest === NOTHING_HELD_DIGEST && updates.length > 0) {
+    if (message.versionsDigest === EMPTY_VERSIONS_DIGEST && updates.length > 0) {
       const to = link.peer.id;
       effects.push({ type: 'send', to, message: { type: 'members', updates } });
     }
--- a/src/model/canonical-json.ts
+++ b/src/model/canonical-json.ts
@@ -1,17 +1,17 @@
-/** Canonical JSON: object keys sorted, no white space, so that equal values have equal text. */
+/** Canonical JSON: sorted object keys and no white space, so that equal values have equal text. */
 
-/** The canonical text of a JSON value; `undefined` members are left out. */
+/** Serialises a JSON value. Members that are `undefined` are omitted. */
 export function canonicalJson(value: unknown): string {
-  return JSON.stringify(sorted(value));
+  return JSON.stringify(sortKeys(value));
 }
 
-function sorted(value: unknown): unknown {
+function sortKeys(value: unknown): unknown {
   if (Array.isArray(value)) {
-    return value.map(sorted);
+    return value.map(sortKeys);
   }
   if (value === null || typeof value !== 'object') {
     return value;
   }
   const members = Object.entries(value).sort(([left], [right]) => (left < right ? -1 : 1));
-  return Object.fromEntries(members.map(([key, member]) => [key, sorted(member)]));
+  return Object.fromEntries(members.map(([key, member]) => [key, sortKeys(member)]));
 }
--- a/src/model/configuration-error.ts
+++ b/src/model/configuration-error.ts
@@ -1,17 +1,16 @@
-/** Why a configuration document was refused, in a form that names the place. */
+/** Validation errors of configuration documents. */
 
-/** One fault in a document. */
 export interface ConfigurationFault {
-  /** Where, as `kind/name` or a path such as `resources.3.spec.port`. */
+  /** Location of the fault, as `kind/name` or a path such as `resources.3.spec.port`. */
   readonly path: string;
-  /** What is wrong and what was expected. Never contains a secret's value. */
+  /** Describes the fault and the expected value. Never contains a secret's value. */
   readonly reason: string;
 }
 
-/** Faults listed in an error at most; the rest are only counted. */
+/** Maximum number of faults listed in an error message; any others are only counted. */
 export const MAX_LISTED_FAULTS = 20;
 
-/** A configuration that is refused whole. */
+/** Thrown when a configuration is rejected as a whole. */
 export class InvalidConfigurationError extends Error {
   override readonly name = 'InvalidConfigurationError';
   readonly code = 'INVALID_CONFIGURATION';
@@ -25,6 +24,6 @@
   const listed = faults
     .slice(0, MAX_LISTED_FAULTS)
     .map((fault) => `${fault.path}: ${fault.reason}`);
-  const rest = faults.length - listed.length;
-  return rest > 0 ? `${listed.join('; ')}; and ${rest} more` : listed.join('; ');
+  const unlistedCount = faults.length - listed.length;
+  return unlistedCount > 0 ? `${listed.join('; ')}; and ${unlistedCount} more` : listed.join('; ');
 }
--- a/src/model/cryptography.ts
+++ b/src/model/cryptography.ts
@@ -1,10 +1,9 @@
 /**
- * Node's cryptography, loaded at its first use: a start that needs none would pay a sixth of its time
- * for it, and fleets start many nodes at once.
+ * Loads `node:crypto` at its first use. Loading it eagerly would account for a sixth of the start time of a
+ * process that does not need it during startup, and fleets start many nodes at once.
  */
 import type crypto from 'node:crypto';
 
-/** The module. */
 export function cryptography(): typeof crypto {
   return process.getBuiltinModule('node:crypto');
 }
--- a/src/model/document.ts
+++ b/src/model/document.ts
@@ -1,34 +1,34 @@
 /**
- * A versioned, immutable set of entries: the unit that nodes replicate. Each entry remembers the
- * version at which it last changed, so a delta against any older version is a filter.
+ * A versioned, immutable set of entries: the unit of replication between nodes. Each entry stores the
+ * version at which it last changed, so that a delta from an older version only requires filtering the entries.
  */
 import { createHash } from 'node:crypto';
 import { EMPTY_DIGEST, type DocumentVersion } from './version.js';
 
-/** Length of an entry hash, in bytes. */
+/** Size of an entry hash, in bytes. */
 const ENTRY_HASH_BYTES = 16;
-/** Deletions remembered per document; a delta from before the oldest kept one is refused. */
+/** Maximum number of tombstones per document. Deltas from versions before a discarded one are unavailable. */
 export const MAX_TOMBSTONES = 4_096;
 
-/** One entry: a key and its canonical JSON text. */
+/** A key and its canonical JSON text. */
 export interface DocumentEntry {
   readonly key: string;
   readonly json: string;
   /**
-   * Version number at which this text was first held, or a later one. It travels with the entry, so
-   * that of a document with one writer (`operator`) it is the same on every node: the version of the
-   * resource that a write's precondition names.
+   * Number of the version that introduced this text, or of a later one. It is replicated with the entry. In a
+   * document with a single writer (`operator`) it is therefore the same on every node, and serves as the
+   * resource version in write preconditions.
    */
   readonly changedAt: number;
 }
 
-/** A deleted key and the version number of its deletion. */
+/** A deleted key and the number of the version that deleted it. */
 export interface Tombstone {
   readonly key: string;
   readonly deletedAt: number;
 }
 
-/** The change from one version to a newer one. */
+/** The difference between a version and a newer one. */
 export interface DocumentDelta {
   readonly from: DocumentVersion;
   readonly to: DocumentVersion;
@@ -36,27 +36,27 @@
   readonly removals: readonly string[];
 }
 
-/** Thrown when a delta does not lead from the held document to the version that it names. */
+/** Thrown when applying a delta does not produce the version that the delta specifies. */
 export class DeltaMismatchError extends Error {
   override readonly name = 'DeltaMismatchError';
 }
 
-/** Immutable document; every change makes a new one. */
+/** Immutable document; every change returns a new one. */
 export class VersionedDocument {
   private constructor(
     readonly version: DocumentVersion,
     readonly entries: ReadonlyMap<string, DocumentEntry>,
     readonly tombstones: readonly Tombstone[],
-    /** Deltas are known from this version number on. */
+    /** Lowest version number from which a delta is available. */
     readonly historyFrom: number,
   ) {}
 
-  /** The document of a node that holds nothing. */
+  /** Creates the initial document of a node, which has no entries. */
   static empty(): VersionedDocument {
     return new VersionedDocument({ number: 0, digest: EMPTY_DIGEST }, new Map(), [], 0);
   }
 
-  /** A document from whole content; `values` maps keys to canonical JSON text. */
+  /** Creates a document from its full content; `values` maps keys to canonical JSON text. */
   static fromValues(number: number, values: ReadonlyMap<string, string>): VersionedDocument {
     const entries = new Map<string, DocumentEntry>();
     const digest = new DigestAccumulator();
@@ -67,7 +67,7 @@
     return new VersionedDocument({ number, digest: digest.hex() }, entries, [], number);
   }
 
-  /** The document that a peer holds under `number`, from its entries; `changedAt` is kept. */
+  /** Creates a copy of a peer's document from its entries, whose `changedAt` is preserved. */
   static fromEntries(number: number, entries: readonly DocumentEntry[]): VersionedDocument {
     const byKey = new Map<string, DocumentEntry>();
     const digest = new DigestAccumulator();
@@ -79,8 +79,8 @@
   }
 
   /**
-   * The successor with whole content `values` under `number`: unchanged entries keep the version at
-   * which they changed, so that the successor can serve deltas.
+   * Returns version `number` with the full content `values`. Unchanged entries keep their `changedAt`, so that
+   * the new version can serve deltas.
    */
   next(number: number, values: ReadonlyMap<string, string>): VersionedDocument {
     const upserts: DocumentEntry[] = [];
@@ -93,7 +93,7 @@
     return this.change(number, upserts, removals);
   }
 
-  /** The successor after `upserts`, all changed at `number`, and `removals`, under `number`. */
+  /** Returns version `number` with `upserts`, whose `changedAt` is `number`, and `removals` applied. */
   change(
     number: number,
     upserts: readonly Pick<DocumentEntry, 'key' | 'json'>[],
@@ -129,16 +129,17 @@
   }
 
   /**
-   * The delta from `from` to this document, or undefined when history does not reach back to it. A
-   * delta from number 0 is from nothing and holds every entry, those of a document numbered 0, too.
+   * Returns the delta from `from` to this version, or undefined if `from` is not older or the history does not
+   * reach back to it. A delta from number 0 applies to an empty document and therefore contains every entry,
+   * including those that changed at number 0.
    */
   deltaFrom(from: DocumentVersion): DocumentDelta | undefined {
     if (from.number < this.historyFrom || from.number >= this.version.number) {
       return undefined;
     }
-    const isWhole = from.number === 0;
+    const includesAllEntries = from.number === 0;
     const upserts = [...this.entries.values()].filter(
-      (entry) => isWhole || entry.changedAt > from.number,
+      (entry) => includesAllEntries || entry.changedAt > from.number,
     );
     const removals = this.tombstones
       .filter((tombstone) => tombstone.deletedAt > from.number)
@@ -146,12 +147,12 @@
     return { from, to: this.version, upserts, removals };
   }
 
-  /** Applies a delta; throws {@link DeltaMismatchError} when the result is not what it promises. */
+  /** Applies a delta. Throws {@link DeltaMismatchError} if the result does not have the delta's digest. */
   apply(delta: DocumentDelta): VersionedDocument {
     const changed = this.successor(delta.to.number, delta.upserts, delta.removals);
     if (changed.version.digest !== delta.to.digest) {
       throw new DeltaMismatchError(
-        `delta ${delta.from.number}..${delta.to.number} does not give digest ${delta.to.digest}`,
+        `delta ${delta.from.number}..${delta.to.number} does not produce digest ${delta.to.digest}`,
       );
     }
     return changed;
@@ -164,17 +165,17 @@
   ): { tombstones: readonly Tombstone[]; historyFrom: number } {
     const replaced = new Set([...removals, ...upserts.map((entry) => entry.key)]);
     const kept = this.tombstones.filter((tombstone) => !replaced.has(tombstone.key));
-    const all = [...kept, ...removals.map((key) => ({ key, deletedAt: number }))];
-    const dropped = all.slice(0, Math.max(0, all.length - MAX_TOMBSTONES));
+    const candidates = [...kept, ...removals.map((key) => ({ key, deletedAt: number }))];
+    const dropped = candidates.slice(0, Math.max(0, candidates.length - MAX_TOMBSTONES));
     const newestDropped = dropped.reduce((newest, one) => Math.max(newest, one.deletedAt), 0);
     return {
-      tombstones: all.slice(dropped.length),
+      tombstones: candidates.slice(dropped.length),
       historyFrom: Math.max(this.historyFrom, newestDropped),
     };
   }
 }
 
-/** Order-independent digest of entries: the exclusive or of their hashes. */
+/** Order-independent digest of entries: the XOR of their hashes. */
 class DigestAccumulator {
   private readonly bytes: Buffer;
 
@@ -182,7 +183,7 @@
     this.bytes = Buffer.from(hex, 'hex');
   }
 
-  /** Adds an entry, or takes it out again. */
+  /** Adds an entry, or removes it if it was added before. */
   toggle(key: string, json: string): void {
     const hash = createHash('sha256').update(key).update('\0').update(json).digest();
     for (let index = 0; index < ENTRY_HASH_BYTES; index += 1) {
--- a/src/model/evacuation.ts
+++ b/src/model/evacuation.ts
@@ -1,14 +1,15 @@
 /**
- * Zones whose endpoints get no new work: what runs there is left alone, what waits is refused and sent
- * elsewhere. Unlike a drain it says nothing of the endpoints themselves, and it may end at any moment.
+ * Evacuated zones, whose endpoints receive no new requests. Requests in progress continue, and queued requests
+ * are refused and sent to other endpoints. Unlike draining, evacuation does not affect the state of the endpoints
+ * themselves, and it can end at any time.
  */
 import type { Endpoint } from './resource.js';
 
-/** Each endpoint's evacuated copy, so that it stays the same object from snapshot to snapshot. */
+/** The evacuated copy of each endpoint. Snapshots share it, so that endpoints can be compared by identity. */
 const evacuatedCopies = new WeakMap<Endpoint, Endpoint>();
 
-/** The endpoint as the zones in `evacuatedZones` leave it. */
-export function underEvacuation(endpoint: Endpoint, evacuatedZones: ReadonlySet<string>): Endpoint {
+/** Returns the endpoint, marked as evacuated if its zone is in `evacuatedZones`. */
+export function applyEvacuation(endpoint: Endpoint, evacuatedZones: ReadonlySet<string>): Endpoint {
   if (!evacuatedZones.has(endpoint.spec.zone)) {
     return endpoint;
   }
@@ -20,26 +21,26 @@
   return copy;
 }
 
-/** Whether the configuration lets the endpoint have new work. */
+/** Whether the configuration allows new requests to the endpoint. */
 export function isInService({ spec, isEvacuated }: Endpoint): boolean {
   return spec.state === 'active' && isEvacuated !== true;
 }
 
-/** A zone whose evacuation began, or ended. */
+/** The start or end of a zone's evacuation. */
 export interface EvacuationChange {
   readonly kind: 'zone-evacuated' | 'zone-taken-back';
   readonly zone: string;
 }
 
-/** How the evacuated zones differ from those before. */
+/** Returns the differences between two sets of evacuated zones. */
 export function evacuationChanges(
   zones: ReadonlySet<string>,
-  before: ReadonlySet<string>,
+  previousZones: ReadonlySet<string>,
 ): readonly EvacuationChange[] {
-  const begun = [...zones].filter((zone) => !before.has(zone));
-  const ended = [...before].filter((zone) => !zones.has(zone));
+  const started = [...zones].filter((zone) => !previousZones.has(zone));
+  const ended = [...previousZones].filter((zone) => !zones.has(zone));
   return [
-    ...begun.map((zone) => ({ kind: 'zone-evacuated' as const, zone })),
+    ...started.map((zone) => ({ kind: 'zone-evacuated' as const, zone })),
     ...ended.map((zone) => ({ kind: 'zone-taken-back' as const, zone })),
   ];
 }
--- a/src/model/machine-zones.ts
+++ b/src/model/machine-zones.ts
@@ -13,13 +13,13 @@
 }
 
 /** Compares endpoint lists by identity: consecutive snapshots share unchanged lists. */
-export function hasSameEndpoints(snapshot: Snapshot, held: Snapshot | undefined): boolean {
+export function hasSameEndpoints(snapshot: Snapshot, previous: Snapshot | undefined): boolean {
   for (const [service, endpoints] of snapshot.endpointsByService) {
-    if (held?.endpointsByService.get(service) !== endpoints) {
+    if (previous?.endpointsByService.get(service) !== endpoints) {
       return false;
     }
   }
-  return held?.endpointsByService.size === snapshot.endpointsByService.size;
+  return previous?.endpointsByService.size === snapshot.endpointsByService.size;
 }
 
 export function hasSameEntries(
--- a/src/model/machine.ts
+++ b/src/model/machine.ts
@@ -1,28 +1,28 @@
-/** Machines: what the platform's lagging list says of the fleet. */
+/** Machines of the fleet, from the platform's list, which may be out of date. */
 import { z } from 'zod';
 import { nameSchema } from './resource.js';
 
 const portSchema = z.number().int().min(1).max(65_535);
 
-/** One machine on the platform's list; each runs one node. */
+/** An entry of the platform's list. Each machine runs one node. */
 export const machineSchema = z.strictObject({
-  /** Identity of the machine; a replacement machine has another. */
+  /** Identity of the machine; a replacement has a different one. */
   id: nameSchema,
   address: z.union([z.ipv4(), z.ipv6()], { error: 'expected an IP number' }),
   /** Port of the node's peer protocol. */
   controlPort: portSchema,
-  /** Port on which the node takes requests from other nodes. */
+  /** Port on which the node accepts relayed requests from other nodes. */
   relayPort: portSchema,
   zone: nameSchema,
   region: nameSchema,
-  /** Rises with each machine that joins: a lower number is an older machine. */
+  /** Increases with each machine that joins: a lower number means an older machine. */
   seniority: z.number().int().min(0),
   state: z.enum(['live', 'leaving']),
 });
 
 export type Machine = z.infer<typeof machineSchema>;
 
-/** The platform's list document. */
+/** The platform's list of machines. */
 export const machineListSchema = z.strictObject({
   version: z.number().int().min(0),
   machines: z.array(machineSchema).max(100_000),
--- a/src/model/merge.ts
+++ b/src/model/merge.ts
@@ -1,7 +1,7 @@
 /**
- * Merges the configuration source's document with the operators' document into one snapshot, by one
- * rule that every node computes alike: the source's resources first, then each operator entry in key
- * order; an operator entry whose inclusion leaves a dangling reference is suspended, not applied.
+ * Merges the configuration source's document and the operators' document into one snapshot. The result is
+ * deterministic, so that all nodes agree: the source's resources come first, then the operator entries are
+ * applied in key order. An operator entry that would leave a dangling reference is suspended.
  */
 import type { ConfigurationFault } from './configuration-error.js';
 import { InvalidConfigurationError } from './configuration-error.js';
@@ -15,27 +15,27 @@
   type Snapshot,
 } from './snapshot.js';
 
-/** JSON text of an operator entry that deletes a resource of the source. */
+/** JSON text of an operator entry that deletes a resource of the configuration source. */
 export const DELETED_JSON = 'null';
 
-/** Entries are immutable and kept from version to version, so each is parsed once. */
+/** Each entry is parsed once: entries are immutable and shared between document versions. */
 const parsedEntries = new WeakMap<DocumentEntry, Resource>();
 
-/** Keys of the operators' document with this prefix are not resources, and not part of a snapshot. */
+/** Prefix of keys in the operators' document that are not resources and are excluded from snapshots. */
 export const RESERVED_KEY_PREFIX = 'meta/';
 
-/** Whether a key of the operators' document names a resource. */
+/** Whether a key of the operators' document identifies a resource. */
 export function isResourceKey(key: string): key is ResourceKey {
   return !key.startsWith(RESERVED_KEY_PREFIX);
 }
 
-/** A snapshot and the operator entries that could not be part of it. */
+/** A snapshot and the operator entries that could not be applied to it. */
 export interface MergedConfiguration {
   readonly snapshot: Snapshot;
   readonly suspended: readonly ConfigurationFault[];
 }
 
-/** Parses a document's entry; throws {@link InvalidConfigurationError} with the entry's key. */
+/** Parses an entry. Throws {@link InvalidConfigurationError} with the entry's key. */
 export function parseEntry(key: string, json: string): Resource {
   const parsed = resourceSchema.safeParse(parseJson(key, json));
   if (!parsed.success) {
@@ -46,15 +46,17 @@
     throw new InvalidConfigurationError(faults);
   }
   if (resourceKey(parsed.data) !== key) {
-    throw new InvalidConfigurationError([{ path: key, reason: 'key and resource differ' }]);
+    throw new InvalidConfigurationError([
+      { path: key, reason: 'expected the kind and name of the resource as the key' },
+    ]);
   }
   return parsed.data;
 }
 
 function parseEntryOnce(entry: DocumentEntry): Resource {
-  const known = parsedEntries.get(entry);
-  if (known !== undefined) {
-    return known;
+  const cached = parsedEntries.get(entry);
+  if (cached !== undefined) {
+    return cached;
   }
   const resource = parseEntry(entry.key, entry.json);
   parsedEntries.set(entry, resource);
@@ -62,9 +64,9 @@
 }
 
 /**
- * The snapshot of a pair of documents. Throws {@link InvalidConfigurationError} when the source's
- * document by itself is not valid; an operator entry is never a reason to refuse the source, nor to
- * take one: all nodes judge alike, whichever of the two documents they got first.
+ * Merges two documents. Throws {@link InvalidConfigurationError} if the source's document is invalid by itself.
+ * Operator entries affect neither the acceptance nor the rejection of the source's document, so that all nodes
+ * decide alike regardless of which document they received first.
  */
 export function mergeDocuments(
   source: VersionedDocument,
@@ -84,12 +86,12 @@
   if (faults.length > 0) {
     throw new InvalidConfigurationError(faults);
   }
-  const suspended = overlay(resources, operator, maxResources);
+  const suspended = applyOperatorEntries(resources, operator, maxResources);
   return { snapshot: buildSnapshot(version, [...resources.values()]), suspended };
 }
 
-/** Applies operator entries in place until no further one can be applied; returns the rest. */
-function overlay(
+/** Applies operator entries to `resources` until no more can be applied; returns the faults of the others. */
+function applyOperatorEntries(
   resources: Map<ResourceKey, Resource>,
   operator: VersionedDocument,
   maxResources: number,
@@ -117,7 +119,7 @@
   return faults;
 }
 
-/** Applies one operator entry, or says why it cannot be applied now. */
+/** Applies one operator entry, or returns the reason why it cannot be applied yet. */
 function tryApply(
   resources: Map<ResourceKey, Resource>,
   entry: DocumentEntry,
@@ -139,7 +141,7 @@
 function tryDelete(resources: Map<ResourceKey, Resource>, key: ResourceKey): string | undefined {
   const dependant = findDependant(resources, key);
   if (dependant !== undefined) {
-    return `still referred to by ${dependant}`;
+    return `still referenced by ${dependant}`;
   }
   resources.delete(key);
   return undefined;
--- a/src/model/resource-key.ts
+++ b/src/model/resource-key.ts
@@ -1,13 +1,13 @@
 /**
- * Kinds and keys of resources. Apart from the schemas of {@link ./resource.ts}, so that a program
- * that takes its resources from a typed source does not load the schema library.
+ * Kinds and keys of resources. Separate from the schemas in {@link ./resource.ts}, so that a program that
+ * receives its resources from a typed source does not load the schema library.
  */
 import type { Resource, ResourceKind } from './resource.js';
 
-/** Request time when neither route nor service names one, in milliseconds. */
+/** Request timeout if neither the route nor the service specifies one, in milliseconds. */
 export const DEFAULT_REQUEST_TIMEOUT_MS = 5_000;
 
-/** Every kind, in the order in which references point: a kind refers only to others in this list. */
+/** All kinds, in dependency order: a kind refers only to kinds before it. */
 export const RESOURCE_KINDS: readonly ResourceKind[] = [
   'service',
   'secret',
@@ -16,10 +16,9 @@
   'evacuation',
 ];
 
-/** `kind/name`, unique in a configuration. */
+/** `kind/name`; unique within a configuration. */
 export type ResourceKey = `${ResourceKind}/${string}`;
 
-/** The key of a resource. */
 export function resourceKey(resource: Pick<Resource, 'kind' | 'name'>): ResourceKey {
   return `${resource.kind}/${resource.name}`;
 }
--- a/src/model/snapshot.ts
+++ b/src/model/snapshot.ts
@@ -1,17 +1,17 @@
 /**
- * The configuration that a node serves from: an immutable snapshot, validated whole before it is
- * swapped in. A request keeps the snapshot that it started with.
+ * The active configuration of a node: an immutable snapshot that is validated as a whole before it replaces the
+ * previous one. A request uses the same snapshot throughout.
  */
 import { InvalidConfigurationError, type ConfigurationFault } from './configuration-error.js';
-import { underEvacuation } from './evacuation.js';
+import { applyEvacuation } from './evacuation.js';
 import type { Endpoint, Resource, Route, Secret, Service } from './resource.js';
 import { resourceKey, type ResourceKey } from './resource-key.js';
 import { NO_VERSION, type DocumentVersion } from './version.js';
 
-/** Resources in one snapshot at most. */
+/** Maximum number of resources in a snapshot. */
 export const MAX_RESOURCES = 100_000;
 
-/** The versions of the documents that a snapshot was merged from; each only rises on a node. */
+/** Versions of the documents that a snapshot was merged from. Each increases monotonically on a node. */
 export interface SnapshotVersion {
   /** Version of the configuration source's document. */
   readonly source: DocumentVersion;
@@ -19,39 +19,38 @@
   readonly operator: DocumentVersion;
 }
 
-/** Version of a node that holds nothing. */
+/** Version of a node that has no documents. */
 export const NO_SNAPSHOT_VERSION: SnapshotVersion = { source: NO_VERSION, operator: NO_VERSION };
 
-/** What callers may send, and for how long their connections are kept. */
+/** Limits on callers' requests and connections. */
 export interface CallerLimits {
-  /** Request line and headers, in bytes. */
+  /** Maximum size of the request line and headers, in bytes. */
   readonly maxHeaderBytes: number;
-  /** Body, in bytes. */
+  /** Maximum size of a request body, in bytes. */
   readonly maxBodyBytes: number;
-  /** Time for a whole request head, in milliseconds. */
+  /** Timeout for receiving a complete request head, in milliseconds. */
   readonly headerTimeoutMs: number;
-  /** Time for which an idle connection is kept, in milliseconds. */
+  /** Time after which an idle connection is closed, in milliseconds. */
   readonly idleTimeoutMs: number;
 }
 
-/** One validated configuration. Build it with {@link buildSnapshot}. */
+/** A validated configuration, created by {@link buildSnapshot}. */
 export interface Snapshot {
   readonly version: SnapshotVersion;
   readonly resources: ReadonlyMap<ResourceKey, Resource>;
   readonly services: ReadonlyMap<string, Service>;
   readonly routes: readonly Route[];
   readonly secrets: ReadonlyMap<string, Secret>;
-  /** Endpoints by the name of their service; every service has a list, perhaps an empty one. */
+  /** Endpoints by service name. Every service has a list, which may be empty. */
   readonly endpointsByService: ReadonlyMap<string, readonly Endpoint[]>;
-  /** Zones whose endpoints get no new work; see {@link ./evacuation.ts}. */
+  /** Zones whose endpoints receive no new requests; see {@link ./evacuation.ts}. */
   readonly evacuatedZones: ReadonlySet<string>;
-  /** Limits that the configuration sets; undefined where it leaves them to the node's settings. */
+  /** Limits set by the configuration; undefined if the node's settings apply. */
   readonly callerLimits: CallerLimits | undefined;
 }
 
 /**
- * Validates `resources` as a whole and indexes them.
- * Throws {@link InvalidConfigurationError} that lists every fault found.
+ * Validates and indexes `resources`. Throws {@link InvalidConfigurationError} with every fault found.
  */
 export function buildSnapshot(
   version: SnapshotVersion,
@@ -78,21 +77,21 @@
   return { ...indexSnapshot(version, byKey), callerLimits };
 }
 
-/** What a snapshot gets besides its routes. */
-export interface PlacedEndpoints {
+/** The parts of a snapshot that change independently of its routes. */
+export interface SnapshotEndpoints {
   readonly endpoints: readonly Endpoint[];
   readonly evacuatedZones: ReadonlySet<string>;
 }
 
 /**
- * The snapshot `base`, which has no endpoints, with `endpoints`; those of unknown services are left
- * out. `before` is an earlier snapshot: lists of endpoints that did not change are taken from it. Costs
- * nothing for the routes, so that an endpoint that comes or goes is cheap whatever the configuration.
+ * Adds `endpoints` to the snapshot `base`, which has none; endpoints of unknown services are omitted. Unchanged
+ * endpoint lists are reused from the earlier snapshot `previous`. Routes are not processed, so that adding or
+ * removing an endpoint is cheap regardless of the size of the configuration.
  */
 export function withEndpoints(
   base: Snapshot,
-  { endpoints, evacuatedZones }: PlacedEndpoints,
-  before?: Snapshot,
+  { endpoints, evacuatedZones }: SnapshotEndpoints,
+  previous?: Snapshot,
 ): Snapshot {
   const endpointsByService = new Map<string, readonly Endpoint[]>();
   const lists = new Map<string, Endpoint[]>();
@@ -100,16 +99,19 @@
     lists.set(service, []);
   }
   for (const endpoint of endpoints) {
-    lists.get(endpoint.spec.service)?.push(underEvacuation(endpoint, evacuatedZones));
+    lists.get(endpoint.spec.service)?.push(applyEvacuation(endpoint, evacuatedZones));
   }
   for (const [service, list] of lists) {
-    const held = before?.endpointsByService.get(service);
-    endpointsByService.set(service, held !== undefined && isSameList(held, list) ? held : list);
+    const previousList = previous?.endpointsByService.get(service);
+    endpointsByService.set(
+      service,
+      previousList !== undefined && isSameList(previousList, list) ? previousList : list,
+    );
   }
   return new SnapshotWithEndpoints(base, endpointsByService, evacuatedZones);
 }
 
-/** Joins the resources of both parts only when they are asked for. */
+/** Merges the resources of the base and the endpoints lazily. */
 class SnapshotWithEndpoints implements Snapshot {
   readonly version: SnapshotVersion;
   readonly services: ReadonlyMap<string, Service>;
@@ -144,7 +146,7 @@
   return left.length === right.length && left.every((endpoint, index) => endpoint === right[index]);
 }
 
-/** Every reference to a resource that is not in `resources`. */
+/** Returns a fault for each reference to a resource that is not in `resources`. */
 export function findDanglingReferences(
   resources: ReadonlyMap<ResourceKey, Resource>,
 ): ConfigurationFault[] {
@@ -159,7 +161,7 @@
   return faults;
 }
 
-/** Keys of the resources that `resource` depends on. */
+/** Returns the keys of the resources that `resource` depends on. */
 export function referencesOf(resource: Resource): ResourceKey[] {
   switch (resource.kind) {
     case 'route': {
@@ -206,7 +208,7 @@
       case 'endpoint':
         endpointsByService
           .get(resource.spec.service)
-          ?.push(underEvacuation(resource, evacuatedZones));
+          ?.push(applyEvacuation(resource, evacuatedZones));
         break;
       case 'service':
       case 'evacuation':
--- a/src/model/source-document.ts
+++ b/src/model/source-document.ts
@@ -1,11 +1,11 @@
-/** The configuration source's document, as resources under one version number. */
+/** The configuration source's document: resources and a version number. */
 import { z } from 'zod';
 import { canonicalJson } from './canonical-json.js';
 import { InvalidConfigurationError } from './configuration-error.js';
 import { resourceKey, resourceSchema } from './resource.js';
 import { buildSnapshot, MAX_RESOURCES, NO_SNAPSHOT_VERSION } from './snapshot.js';
 
-/** Shape of a configuration document, at the source and in files. */
+/** Schema of a configuration document, from the source or a file. */
 export const sourceDocumentSchema = z.strictObject({
   version: z.number().int().min(1).max(Number.MAX_SAFE_INTEGER),
   resources: z.array(resourceSchema).max(MAX_RESOURCES),
@@ -14,8 +14,8 @@
 export type SourceDocument = z.infer<typeof sourceDocumentSchema>;
 
 /**
- * Checks shape, bounds, unique names and references of a parsed JSON or YAML value.
- * Throws {@link InvalidConfigurationError}; a document is taken whole or not at all.
+ * Validates the schema, unique names and references of a parsed JSON or YAML value. Throws
+ * {@link InvalidConfigurationError}; a document is never accepted in part.
  */
 export function parseSourceDocument(value: unknown): SourceDocument {
   const parsed = sourceDocumentSchema.safeParse(value);
@@ -28,7 +28,7 @@
   return parsed.data;
 }
 
-/** The document's entries as keys and canonical JSON text. */
+/** Returns the document's entries as a map from keys to canonical JSON text. */
 export function sourceDocumentValues(document: SourceDocument): Map<string, string> {
   return new Map(
     document.resources.map((resource) => [resourceKey(resource), canonicalJson(resource)]),
--- a/src/model/verdict.ts
+++ b/src/model/verdict.ts
@@ -1,16 +1,16 @@
-/** Verdict: what may be said of a request's execution. Every error and answer carries one. */
+/** Verdict: whether a request was executed. Every error and answer includes one. */
 
-/** Header that carries the verdict to callers and between nodes. */
+/** Header that contains the verdict, in answers to callers and between nodes. */
 export const VERDICT_HEADER = 'ferryspool-verdict';
 
 /**
- * - `not-run`: proved not to have started anywhere; it is safe to send again.
- * - `may-have-run`: it was sent on and no proof of its fate exists.
+ * - `not-run`: the request provably did not start on any endpoint and is safe to retry.
+ * - `may-have-run`: the request was forwarded, and its outcome is unknown.
  * - `ran`: the endpoint answered.
  */
 export type Verdict = 'not-run' | 'may-have-run' | 'ran';
 
-/** Whether `text` is a verdict, as read from a header. */
+/** Whether a header value is a verdict. */
 export function isVerdict(text: unknown): text is Verdict {
   return text === 'not-run' || text === 'may-have-run' || text === 'ran';
 }
--- a/src/model/version.ts
+++ b/src/model/version.ts
@@ -1,10 +1,8 @@
-/**
- * Versions of replicated documents and the total rule that says which of two is newer.
- */
+/** Versions of replicated documents and their total order. */
 
-/** Position of one document: its number, and a digest of its content that settles a tie. */
+/** Version of a document: its number, and a digest of its content as a tie-breaker. */
 export interface DocumentVersion {
-  /** Rises with each publication; 0 means nothing held. */
+  /** Increases with each publication; 0 means that no document has been received. */
   readonly number: number;
   /** Content digest, 32 lower-case hexadecimal digits; see {@link ./document.ts}. */
   readonly digest: string;
@@ -13,13 +11,13 @@
 /** Digest of a document without entries. */
 export const EMPTY_DIGEST = '0'.repeat(32);
 
-/** What a node holds before it has held anything. */
+/** Version before a node has received any document. */
 export const NO_VERSION: DocumentVersion = { number: 0, digest: EMPTY_DIGEST };
 
 /**
- * Total order: the higher number is newer; under one number the higher digest is taken as newer, so
- * that two parts of a fleet that met different documents under one number settle on the same one.
- * Returns a negative number, zero or a positive number, as a sort comparator does.
+ * Compares versions like a sort comparator. The higher number is newer. For equal numbers the higher digest is
+ * considered newer, so that parts of a fleet that received different documents with the same number converge on
+ * one of them.
  */
 export function compareVersions(left: DocumentVersion, right: DocumentVersion): number {
   if (left.number !== right.number) {
@@ -31,7 +29,6 @@
   return left.digest < right.digest ? -1 : 1;
 }
 
-/** Whether `candidate` is newer than `held`. */
 export function isNewer(candidate: DocumentVersion, held: DocumentVersion): boolean {
   return compareVersions(candidate, held) > 0;
 }
--- a/src/settings/certificates.ts
+++ b/src/settings/certificates.ts
@@ -1,27 +1,27 @@
-/** Reads and checks the certificates that settings name, before anything starts. */
+/** Reads and validates the certificates in the settings, before the node starts. */
 import { createPrivateKey, X509Certificate, type KeyObject } from 'node:crypto';
 import { resolve } from 'node:path';
 import { FileReadError, type FileReader } from './read-document.js';
 import type { SettingsFault } from './settings-error.js';
 import type { TlsSettings } from './settings.js';
 
-/** Largest PEM file, in bytes. */
+/** Maximum size of a PEM file, in bytes. */
 const MAX_PEM_FILE_BYTES = 1_048_576;
-/** Text by which PEM is told from a file path. */
-const PEM_MARK = '-----BEGIN';
+/** Distinguishes PEM text from a file path. */
+const PEM_MARKER = '-----BEGIN';
 
-/** Certificates as PEM text, or why they can not be used. */
-export interface CertificateReading {
+/** Certificates as PEM text, and the faults that prevent their use. */
+export interface CertificateResult {
   readonly tls: TlsSettings;
   readonly faults: readonly SettingsFault[];
 }
 
-/** Reads each PEM file, relative to `directory`, and checks that the three belong together. */
+/** Reads the PEM files, relative to `directory`, and checks that they are valid and that the key matches. */
 export function readCertificates(
   tls: TlsSettings,
   directory: string,
   readFile: FileReader,
-): CertificateReading {
+): CertificateResult {
   const faults: SettingsFault[] = [];
   const read = (name: keyof TlsSettings): string => {
     try {
@@ -41,7 +41,7 @@
 }
 
 function pemText(value: string, directory: string, readFile: FileReader): string {
-  if (value.includes(PEM_MARK)) {
+  if (value.includes(PEM_MARKER)) {
     return value;
   }
   return readFile(resolve(directory, value), MAX_PEM_FILE_BYTES);
--- a/src/settings/default-settings.ts
+++ b/src/settings/default-settings.ts
@@ -1,13 +1,13 @@
-/** All defaults, as a document that an operator can start from. */
+/** Default settings as a template for a settings file. */
 import { settingsSchema } from './settings.js';
 
-/** Stands in place of each setting that has no default. */
+/** Placeholder for a required setting, which has no default. */
 export const REQUIRED_VALUE = '(required)';
 
-/** Stands in place of what is required once the optional section is there. */
+/** Placeholder for a setting that is required if its optional section is present. */
 export const REQUIRED_IN_SECTION_VALUE = '(required if this section is given)';
 
-/** Every setting with its default; required ones are marked. */
+/** Returns all settings with their defaults, and placeholders for the required ones. */
 export function defaultSettings(): Record<string, unknown> {
   const placeholder = {
     machine: { id: 'id', address: '127.0.0.1', zone: 'zone', region: 'region' },
--- a/src/settings/load-settings.ts
+++ b/src/settings/load-settings.ts
@@ -1,4 +1,4 @@
-/** Loads settings from one file and from flags, which win over the file. */
+/** Loads settings from a file and from flags, which take precedence over the file. */
 import { dirname } from 'node:path';
 import type { z } from 'zod';
 import { readCertificates } from './certificates.js';
@@ -9,14 +9,13 @@
 import { completeSettings, settingsSchema, type Settings } from './settings.js';
 import { showValue, valueAt } from './shown-value.js';
 
-/** Largest settings file, in bytes. */
+/** Maximum size of a settings file, in bytes. */
 export const MAX_SETTINGS_FILE_BYTES = 1_048_576;
-/** Stands in place of a file name when there is none. */
+/** File name in errors if no settings file is given. */
 const NO_FILE = '(flags)';
 
 /**
- * Settings from `file`, when one is named, with `overrides` on top.
- * Throws {@link SettingsError} that lists every fault.
+ * Loads settings from `file`, if given, and applies `overrides`. Throws {@link SettingsError} with every fault.
  */
 export function loadSettings(
   file: string | undefined,
@@ -31,9 +30,7 @@
   return settingsFromValue(name, withOverrides(name, content, overrides), readFile);
 }
 
-/**
- * Settings from the parsed content of `file`, with certificates read. Throws {@link SettingsError}.
- */
+/** Validates the parsed content of `file` and reads the certificates. Throws {@link SettingsError}. */
 export function settingsFromValue(
   file: string,
   value: unknown,
@@ -50,7 +47,7 @@
   return { ...settings, tls };
 }
 
-/** Checks a parsed value; `file` is named in faults. Throws {@link SettingsError}. */
+/** Validates a parsed value; `file` is used in error messages. Throws {@link SettingsError}. */
 export function parseSettings(file: string, value: unknown): Settings {
   const parsed = settingsSchema.safeParse(value, { reportInput: false });
   if (!parsed.success) {
--- a/src/settings/parse-document.ts
+++ b/src/settings/parse-document.ts
@@ -1,27 +1,28 @@
-/** Reads YAML or JSON text. JSON is read as YAML, of which it is a part. */
+/** Parses YAML or JSON text. JSON is parsed as YAML, of which it is a subset. */
 import { parseDocument } from 'yaml';
 
-/** Aliases that one document may expand to; guards against exponential growth. */
+/** Maximum number of alias expansions in a document; prevents exponential growth. */
 const MAX_ALIASES = 100;
 
-/** Text that is neither YAML nor JSON. The message names line and column, never the content. */
+/** Thrown for text that is not valid YAML or JSON. The message has line and column, but none of the content. */
 export class DocumentSyntaxError extends Error {
   override readonly name = 'DocumentSyntaxError';
   readonly code = 'INVALID_SYNTAX';
 }
 
-/** The value that `text` stands for; throws {@link DocumentSyntaxError}. */
+/** Parses `text`. Throws {@link DocumentSyntaxError}. */
 export function parseDocumentText(text: string): unknown {
   const document = parseDocument(text, { prettyErrors: true, uniqueKeys: true });
   const error = document.errors[0];
   if (error !== undefined) {
     const position = error.linePos?.[0];
-    const place = position === undefined ? '' : ` at line ${position.line}, column ${position.col}`;
-    throw new DocumentSyntaxError(`expected YAML or JSON; ${error.code}${place}`);
+    const location =
+      position === undefined ? '' : ` at line ${position.line}, column ${position.col}`;
+    throw new DocumentSyntaxError(`expected YAML or JSON; ${error.code}${location}`);
   }
   try {
     return document.toJS({ maxAliasCount: MAX_ALIASES }) as unknown;
   } catch {
-    throw new DocumentSyntaxError(`expected at most ${MAX_ALIASES} aliases, all of them resolved`);
+    throw new DocumentSyntaxError(`expected at most ${MAX_ALIASES} aliases, all of them defined`);
   }
 }
--- a/src/settings/read-document.ts
+++ b/src/settings/read-document.ts
@@ -1,4 +1,4 @@
-/** Reads YAML and JSON files of bounded size. */
+/** Reads YAML and JSON files with a size limit. */
 import { closeSync, openSync, readSync } from 'node:fs';
 import { DocumentSyntaxError, parseDocumentText } from './parse-document.js';
 import { SettingsError } from './settings-error.js';
@@ -6,16 +6,16 @@
 /** Size of one read, in bytes. */
 const READ_BYTES = 65_536;
 
-/** Gives the text of a file of at most `maxBytes`; throws {@link FileReadError}. */
+/** Reads a text file of at most `maxBytes`. Throws {@link FileReadError}. */
 export type FileReader = (path: string, maxBytes: number) => string;
 
-/** A file that can not be read as text. The message contains nothing of it. */
+/** Thrown if a file cannot be read as text. The message contains none of the file's content. */
 export class FileReadError extends Error {
   override readonly name = 'FileReadError';
   readonly code = 'UNREADABLE_FILE';
 }
 
-/** Reads a file, also a pipe, and stops as soon as it is too large. */
+/** Reads a file or pipe, and stops as soon as it exceeds the size limit. */
 export const readTextFile: FileReader = (path, maxBytes) => {
   const bytes = readBytes(path, maxBytes);
   if (bytes.length > maxBytes) {
@@ -28,7 +28,7 @@
   }
 };
 
-/** The value of a YAML or JSON file; throws {@link SettingsError} that names the file. */
+/** Reads and parses a YAML or JSON file. Throws {@link SettingsError} with the file name. */
 export function readDocument(
   file: string,
   maxBytes: number,
@@ -44,7 +44,7 @@
   }
 }
 
-/** At most one read more than `maxBytes`. */
+/** Reads until the end of the file or until more than `maxBytes` have been read. */
 function readBytes(path: string, maxBytes: number): Buffer {
   let descriptor: number | undefined;
   try {
--- a/src/settings/secret-settings.ts
+++ b/src/settings/secret-settings.ts
@@ -1,19 +1,19 @@
-/** Which settings are secrets, and settings with their secrets masked. */
+/** Identifies and masks secret settings. */
 
-/** Stands in place of a secret wherever settings are printed. */
+/** Replaces secrets in printed settings. */
 export const MASKED_VALUE = '(secret)';
 
 const SECRET_PATHS: ReadonlySet<string> = new Set(['fleetKey', 'adminToken', 'tls.keyPem']);
 
 /**
- * Whether the value at `path`, or part of it, may be a secret. A whole `tls` section counts: its
- * value holds the private key.
+ * Whether the value at `path`, or part of it, may be a secret. This includes the `tls` section, which contains
+ * the private key.
  */
 export function isSecretPath(path: string): boolean {
   return path === '' || path === 'tls' || SECRET_PATHS.has(path);
 }
 
-/** A copy of `settings` that can be printed. */
+/** Returns a copy of `settings` with secrets masked, for printing. */
 export function maskSecrets(settings: object, prefix = ''): Record<string, unknown> {
   const members = Object.entries(settings).map(([name, value]: [string, unknown]) => {
     const path = prefix === '' ? name : `${prefix}.${name}`;
--- a/src/settings/setting-override.ts
+++ b/src/settings/setting-override.ts
@@ -1,7 +1,7 @@
-/** Settings given one by one, on top of a file. */
+/** Individual settings that override those of a settings file. */
 import { SettingsError } from './settings-error.js';
 
-/** One setting: a dotted path and its value. */
+/** The dotted path of a setting and its value. */
 export interface SettingOverride {
   readonly path: string;
   readonly value: unknown;
@@ -10,14 +10,13 @@
 /** A map of settings. */
 export type SettingsSection = Record<string, unknown>;
 
-/** Whether `value` is a map of settings. */
 export function isSection(value: unknown): value is SettingsSection {
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
 /**
- * A copy of `content` with every override set; sections are made where they are missing. Throws
- * {@link SettingsError} when a path leads through a value that is no section.
+ * Returns a copy of `content` with the overrides applied. Missing sections are created. Throws
+ * {@link SettingsError} if a path passes through a value that is not a section.
  */
 export function withOverrides(
   file: string,
@@ -42,7 +41,7 @@
   return copy;
 }
 
-/** Sets an own member, also one named `__proto__`, which the schema then refuses. */
+/** Defines an own property, so that `__proto__` is also set and then rejected by the schema. */
 function defineMember(section: SettingsSection, name: string, value: unknown): void {
   Object.defineProperty(section, name, {
     value,
--- a/src/settings/settings-error.ts
+++ b/src/settings/settings-error.ts
@@ -1,25 +1,24 @@
-/** Why settings were refused, in a form that names file, path, value and what was expected. */
+/** Validation errors of settings, with file, path, value and expectation. */
 
-/** One fault. */
 export interface SettingsFault {
-  /** Dotted path of the setting; empty for the file as a whole. */
+  /** Dotted path of the setting; empty if the fault concerns the entire file. */
   readonly path: string;
-  /** The value as JSON text, cut short; absent where it is missing or may be a secret. */
+  /** The value as truncated JSON text; absent if it is missing or may be a secret. */
   readonly value?: string;
-  /** What was expected instead. */
+  /** Describes the expected value. */
   readonly expected: string;
 }
 
-/** Faults listed in a message at most; the rest are only counted. */
+/** Maximum number of faults listed in a message; any others are only counted. */
 const MAX_LISTED_FAULTS = 20;
 
-/** Settings that are refused whole. Neither faults nor message contain a secret. */
+/** Thrown when settings are rejected as a whole. Neither the faults nor the message contain secrets. */
 export class SettingsError extends Error {
   override readonly name = 'SettingsError';
   readonly code = 'INVALID_SETTINGS';
 
   constructor(
-    /** The settings file, or `(flags)`. */
+    /** Name of the settings file, or `(flags)`. */
     readonly file: string,
     readonly faults: readonly SettingsFault[],
   ) {
@@ -29,12 +28,14 @@
 
 function describe(file: string, faults: readonly SettingsFault[]): string {
   const lines = faults.slice(0, MAX_LISTED_FAULTS).map((fault) => describeFault(file, fault));
-  const rest = faults.length - lines.length;
-  return [...lines, ...(rest > 0 ? [`${file}: and ${rest} more`] : [])].join('\n');
+  const unlistedCount = faults.length - lines.length;
+  return [...lines, ...(unlistedCount > 0 ? [`${file}: and ${unlistedCount} more`] : [])].join(
+    '\n',
+  );
 }
 
 function describeFault(file: string, fault: SettingsFault): string {
-  const place = fault.path === '' ? file : `${file}: ${fault.path}`;
+  const location = fault.path === '' ? file : `${file}: ${fault.path}`;
   const value = fault.value === undefined ? '' : ` = ${fault.value}`;
-  return `${place}${value}: ${fault.expected}`;
+  return `${location}${value}: ${fault.expected}`;
 }
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -1,20 +1,20 @@
 /**
- * Settings of one node: the schema, its defaults and its bounds. A name that ends in `Ms` is in
- * milliseconds, one that ends in `Bytes` in bytes. Unknown names are refused.
+ * Settings of a node: schema, defaults and limits. Settings whose names end in `Ms` are in milliseconds, those
+ * whose names end in `Bytes` are in bytes. Unknown names are rejected.
  */
 import { z } from 'zod';
 import { nameSchema } from '../model/resource.js';
 import { MAX_VOTERS } from '../replication/voter-configuration.js';
 
-/** Shortest fleet key and administration token, in characters. */
+/** Minimum length of the fleet key and the admin token, in characters. */
 export const MIN_KEY_LENGTH = 16;
-/** Longest fleet key and administration token, in characters. */
+/** Maximum length of the fleet key and the admin token, in characters. */
 export const MAX_KEY_LENGTH = 1_024;
-/** Longest interval that any setting may name, in milliseconds. */
+/** Maximum of all intervals, in milliseconds. */
 const MAX_INTERVAL_MS = 3_600_000;
-/** Largest size that any setting may name, in bytes. */
+/** Maximum of all sizes, in bytes. */
 const MAX_SIZE_BYTES = 1_073_741_824;
-/** Largest count that any setting may name. */
+/** Maximum of all counts. */
 const MAX_COUNT = 1_000_000;
 
 const intervalMs = z.number().int().min(1).max(MAX_INTERVAL_MS);
@@ -24,21 +24,21 @@
 const httpUrl = z.url({ protocol: /^https?$/, error: 'expected an http or https URL' });
 const key = z.string().min(MIN_KEY_LENGTH).max(MAX_KEY_LENGTH);
 
-/** A port to listen on; 0 means any free one. */
+/** A port to listen on; 0 means any free port. */
 const listenPort = z.number().int().min(0).max(65_535);
 const remotePort = z.number().int().min(1).max(65_535);
 
-/** Who this node is and where it stands. */
+/** Identity and location of this node. */
 const machineSettingsSchema = z.strictObject({
   /** Identity of the machine, as on the platform's machine list. */
   id: nameSchema,
-  /** IP number at which other nodes reach this one. */
+  /** IP address at which other nodes reach this one. */
   address: ipAddress,
   zone: nameSchema,
   region: nameSchema,
 });
 
-/** The four listeners. */
+/** Ports of the four listeners. */
 const portSettingsSchema = z.strictObject({
   /** Callers' HTTP requests. */
   caller: listenPort.default(8080),
@@ -51,47 +51,46 @@
 });
 
 /**
- * Certificates for TLS between nodes. Each is PEM text, or the path of a PEM file, relative to the
- * settings file, that is read once at start.
+ * Certificates for TLS between nodes. Each is PEM text, or the path of a PEM file relative to the settings
+ * file. PEM files are read once at start.
  */
 const tlsSettingsSchema = z.strictObject({
   certificatePem: z.string().min(1),
   /** Private key of the certificate; a secret. */
   keyPem: z.string().min(1),
-  /** Authority that signed the certificates of all nodes. */
+  /** Certificate of the authority that signed the certificates of all nodes. */
   authorityPem: z.string().min(1),
 });
 
-/** Certificates for TLS between nodes. */
 export type TlsSettings = z.infer<typeof tlsSettingsSchema>;
 
 /** A peer to dial before the machine list is known. */
 const seedSchema = z.strictObject({ address: ipAddress, controlPort: remotePort });
 
-/** Where and how the platform is read. */
+/** How the platform is polled. */
 const platformSettingsSchema = z.strictObject({
-  /** The configuration source's document. */
+  /** URL of the configuration source's document. */
   configurationUrl: httpUrl,
-  /** The platform's lagging list of machines. */
+  /** URL of the platform's machine list, which may be out of date. */
   machinesUrl: httpUrl,
-  /** Time between two reads by a node that holds a reader lease. */
+  /** Time between two requests by a node that holds a reader lease. */
   pollIntervalMs: intervalMs.default(500),
-  /** Time after which a read is given up. */
+  /** Timeout of a request. */
   requestTimeoutMs: intervalMs.default(2_000),
 });
 
-/** The network of links between nodes. */
+/** The overlay network of links between nodes. */
 const overlaySettingsSchema = z
   .strictObject({
-    /** Links that this node dials and keeps up. */
+    /** Number of links that this node dials and maintains. */
     neighbours: z.number().int().min(1).max(64).default(4),
-    /** Links that this node accepts. */
+    /** Maximum number of links that this node accepts. */
     maxInbound: z.number().int().min(1).max(1_024).default(16),
     /** Time between two heartbeats on a link. */
     heartbeatIntervalMs: intervalMs.default(2_000),
-    /** Silence after which a neighbour is suspected. */
+    /** Time without a message after which a neighbour is suspected. */
     suspectAfterMs: intervalMs.default(5_000),
-    /** Silence after which a neighbour is taken for dead. */
+    /** Time without a message after which a neighbour is considered dead. */
     deadAfterMs: intervalMs.default(10_000),
   })
   .refine((overlay) => overlay.suspectAfterMs > overlay.heartbeatIntervalMs, {
@@ -115,94 +114,92 @@
     error: 'expected less than lease.durationMs',
   });
 
-/** Bounds on callers' requests. */
+/** Limits on callers' requests. */
 const proxySettingsSchema = z.strictObject({
-  /** Request line and headers of one request. */
+  /** Maximum size of the request line and headers. */
   maxHeaderBytes: sizeBytes.max(1_048_576).default(16_384),
-  /** Body of one request. */
+  /** Maximum size of a request body. */
   maxBodyBytes: sizeBytes.default(16_777_216),
-  /** Requests in flight on this node. */
+  /** Maximum number of requests in flight on this node. */
   maxPendingRequests: count.default(4_096),
-  /** Time that a planned stop gives to requests in flight. */
+  /** Time that requests in flight have to finish during a graceful shutdown. */
   drainTimeoutMs: intervalMs.default(30_000),
 });
 
-/** Bounds on the resource API. */
+/** Limits on the resource API. */
 const apiSettingsSchema = z.strictObject({
-  /** Body of one write. */
+  /** Maximum size of the body of a write. */
   maxBodyBytes: sizeBytes.default(65_536),
-  /** Watches open at once. */
+  /** Maximum number of concurrent watches. */
   maxWatchers: count.default(64),
-  /** Changes remembered for watches; a watcher that falls further behind is dropped. */
+  /** Maximum number of changes buffered for watches; a watch that falls further behind is closed. */
   watchHistoryEvents: count.default(10_000),
-  /** Size of the remembered changes. */
+  /** Maximum total size of the buffered changes. */
   watchHistoryBytes: sizeBytes.default(16_777_216),
-  /** Time that a write may wait for an outcome; more than the replication itself gives it. */
+  /** Time that a write waits for its outcome; longer than the timeout of the replication itself. */
   writeTimeoutMs: intervalMs.default(12_000),
 });
 
-/** Acceptance of operators' writes. */
+/** Replication of operators' writes. */
 const writesSettingsSchema = z
   .strictObject({
     /**
-     * Machines that form the first group of voters of a fleet that holds nothing; the same list on
-     * every node, kept up to date as machines are replaced. Empty: the fleet takes no writes.
+     * Machines that form the first group of voters of a fleet without stored data. The list must be the same on
+     * every node, and must be kept up to date as machines are replaced. If empty, the fleet accepts no writes.
      */
     initialVoters: z.array(nameSchema).max(MAX_VOTERS).default([]),
-    /** Voters to have; a lost one is replaced by a live machine. */
+    /** Desired number of voters; a lost voter is replaced by a live machine. */
     voterCount: z.number().int().min(1).max(MAX_VOTERS).default(5),
   })
   .refine((writes) => new Set(writes.initialVoters).size === writes.initialVoters.length, {
     path: ['initialVoters'],
-    error: 'expected each machine once',
+    error: 'expected no duplicate machines',
   });
 
 /** Claims on idempotency keys. */
 const claimsSettingsSchema = z.strictObject({
   /**
-   * Whether a fleet whose holders of claims are all new grants claims at once. Otherwise it grants
-   * none for five minutes, since a key may have been used before all of them were lost.
+   * Whether a fleet whose claim holders are all new grants claims immediately. Otherwise it grants none for
+   * five minutes, because a key may have been used before all holders were lost.
    */
   openWhenAllAreNew: z.boolean().default(false),
   /**
-   * Groups that machines and keys are divided into, each with five holders of its own; the same on
-   * every node. A group should have ten machines or more; a change counts as the loss of all claims.
+   * Number of groups into which machines and keys are partitioned, each with five holders. Must be the same on
+   * every node. A group should have at least ten machines. Changing the number is equivalent to losing all claims.
    */
   groups: z.number().int().min(1).max(1_000).default(1),
 });
 
-/** What is logged. */
 const logSettingsSchema = z.strictObject({
   level: z.enum(['error', 'warn', 'info', 'debug']).default('info'),
 });
 
-/** Every section and its default. */
 const settingsObjectSchema = z.strictObject({
   machine: machineSettingsSchema,
   ports: portSettingsSchema.prefault({}),
-  /** IP number of the caller listener; `machine.address` when absent. */
+  /** IP address of the caller listener; defaults to `machine.address`. */
   callerAddress: ipAddress.optional(),
-  /** IP number of the admin listener; `machine.address` when absent. */
+  /** IP address of the admin listener; defaults to `machine.address`. */
   adminAddress: ipAddress.optional(),
-  /** Secret that all nodes of the fleet share; a peer without it learns nothing. */
+  /** Shared secret of all nodes of the fleet; peers without it are sent no data. */
   fleetKey: key,
   /**
-   * Secret that operators present as a bearer token. When absent, the resource API can be read
-   * without a token and refuses every write.
+   * Secret that operators send as a bearer token. If absent, the resource API can be read without a token and
+   * rejects all writes.
    */
   adminToken: key.optional(),
-  /** TLS between nodes; plain TCP when absent. */
+  /** TLS between nodes; if absent, plain TCP is used. */
   tls: tlsSettingsSchema.optional(),
   /**
-   * Peers to dial before the machine list is known. They also elect the reader of a fleet without a
-   * list: every node is given the same seeds, a seed itself included.
+   * Peers to dial before the machine list is known. They also elect the reader of a fleet without a machine
+   * list. All nodes must have the same seeds, including the seeds themselves.
    */
   seeds: z.array(seedSchema).max(64).default([]),
-  /** The platform; a node without it learns everything from its peers. */
+  /** The platform; a node without it receives all data from its peers. */
   platform: platformSettingsSchema.optional(),
   /**
-   * Readers that each zone may have at the platform: zone to number, the same on every node. The
-   * platform must bear their sum and one more, which reads when a zone's electors are lost.
+   * Maximum number of platform readers by zone; must be the same on every node. The platform must be able to
+   * serve their sum plus one: an additional reader is active when a zone's electors are lost.
    */
   readerShares: z.record(nameSchema, z.number().int().min(0).max(1_000)).default({}),
   overlay: overlaySettingsSchema.prefault({}),
@@ -214,24 +211,24 @@
   log: logSettingsSchema.prefault({}),
 });
 
-/** Settings as they stand in a file; `z.input` is what an operator writes. */
+/** Schema of a settings file; `z.input` is the type of the file's content. */
 export const settingsSchema = settingsObjectSchema.superRefine((settings, context) => {
-  for (const [path, taken] of findTakenPorts(completeSettings(settings))) {
-    const message = `expected a port that is not ports.${taken}, on one address`;
+  for (const [path, otherPort] of findPortConflicts(completeSettings(settings))) {
+    const message = `expected a port that is not ports.${otherPort} on the same address`;
     context.addIssue({ code: 'custom', path: ['ports', path], message });
   }
 });
 
-/** What the schema gives, before addresses are filled in. */
+/** Output of the schema, before addresses are filled in. */
 export type ParsedSettings = z.infer<typeof settingsObjectSchema>;
 
-/** Settings of a node: checked, complete and immutable. */
+/** Validated, complete and immutable settings of a node. */
 export type Settings = Readonly<ParsedSettings> & {
   readonly callerAddress: string;
   readonly adminAddress: string;
 };
 
-/** Fills in the settings that default to another one. */
+/** Fills in settings that default to the value of another one. */
 export function completeSettings(parsed: ParsedSettings): Settings {
   return {
     ...parsed,
@@ -242,8 +239,8 @@
 
 type PortName = keyof ParsedSettings['ports'];
 
-/** Listeners that could not be opened beside an earlier one, each with that one. */
-function findTakenPorts({
+/** Returns pairs of a listener and an earlier one with the same address and port. */
+function findPortConflicts({
   ports,
   machine,
   callerAddress,
@@ -256,14 +253,14 @@
     admin: adminAddress,
   };
   const owners = new Map<string, PortName>();
-  const taken: [PortName, PortName][] = [];
+  const conflicts: [PortName, PortName][] = [];
   for (const name of Object.keys(addresses) as PortName[]) {
-    const place = `${addresses[name]} ${ports[name]}`;
-    const owner = owners.get(place);
+    const socketAddress = `${addresses[name]} ${ports[name]}`;
+    const owner = owners.get(socketAddress);
     if (owner !== undefined && ports[name] !== 0) {
-      taken.push([name, owner]);
+      conflicts.push([name, owner]);
     }
-    owners.set(place, owner ?? name);
+    owners.set(socketAddress, owner ?? name);
   }
-  return taken;
+  return conflicts;
 }
--- a/src/settings/shown-value.ts
+++ b/src/settings/shown-value.ts
@@ -1,9 +1,9 @@
-/** Values as faults show them. Callers must leave out values that may be secret. */
+/** Formats values for fault messages. Callers must exclude values that may be secrets. */
 
-/** Longest value shown, in characters. */
+/** Maximum length of a formatted value, in characters. */
 const MAX_SHOWN_VALUE_LENGTH = 80;
 
-/** A scalar as JSON text, cut short; undefined for a missing value, a list or a section. */
+/** Returns a scalar as truncated JSON text; undefined for a missing value, a list or a section. */
 export function showValue(value: unknown): string | undefined {
   if (value === undefined || (typeof value === 'object' && value !== null)) {
     return undefined;
@@ -14,7 +14,7 @@
     : text;
 }
 
-/** The member of `root` at `path`; undefined where there is none. */
+/** Returns the value at `path` in `root`; undefined if there is none. */
 export function valueAt(root: unknown, path: readonly PropertyKey[]): unknown {
   let value = root;
   for (const name of path) {
--- a/src/transport/handshake-codec.ts
+++ b/src/transport/handshake-codec.ts
@@ -1,6 +1,6 @@
 /** Frames of the handshake. They share the frame format of the peer protocol, with types 12 to 15. */
 import type { PeerIdentity } from '../membership/peer-identity.js';
-import { decodeWhole, encodeFrame } from '../wire/codec.js';
+import { decodeExact, encodeFrame } from '../wire/codec.js';
 import { fixedBytes, oneOf, PlainStruct } from '../wire/field-types.js';
 import { FrameError } from '../wire/frame-error.js';
 import { decodeHead, HEAD_BYTES } from '../wire/frame-head.js';
@@ -71,13 +71,13 @@
   }
   switch (typeNumber) {
     case TYPE_NUMBERS.hello:
-      return { type: 'hello', ...decodeWhole(nonceLayout, payload) };
+      return { type: 'hello', ...decodeExact(nonceLayout, payload) };
     case TYPE_NUMBERS.challenge:
-      return { type: 'challenge', ...decodeWhole(nonceLayout, payload) };
+      return { type: 'challenge', ...decodeExact(nonceLayout, payload) };
     case TYPE_NUMBERS.proof:
-      return { type: 'proof', ...decodeWhole(proofLayout, payload) };
+      return { type: 'proof', ...decodeExact(proofLayout, payload) };
     case TYPE_NUMBERS.refusal:
-      return { type: 'refusal', ...decodeWhole(refusalLayout, payload) };
+      return { type: 'refusal', ...decodeExact(refusalLayout, payload) };
     default:
       throw new FrameError('unknown-type', `type number ${typeNumber} before the proof`);
   }
--- a/src/types/js-csp.d.ts
+++ b/src/types/js-csp.d.ts
@@ -1,6 +1,6 @@
-/** Types of the part of js-csp 1.0.1 that this project uses. */
+/** Types for the parts of js-csp 1.0.1 that ferryspool uses. */
 declare module 'js-csp' {
-  /** An instruction to be yielded inside a process. */
+  /** An instruction that a process yields. */
   export interface Instruction {
     readonly instruction: unique symbol;
   }
@@ -10,18 +10,18 @@
     readonly element: T;
   }
 
-  /** A channel of values of type T; `null` can not be put. */
+  /** A channel of values of type T. `null` cannot be put. */
   export interface Channel<T> {
     close(): void;
     isClosed(): boolean;
-    /** Never present: keeps the element type apart. */
+    /** Never present: makes channels with different element types incompatible. */
     readonly element?: T;
   }
 
   export const CLOSED: null;
   export const NO_VALUE: unique symbol;
 
-  /** A process: a generator whose yielded instructions block it. */
+  /** A generator that is suspended until the instruction it yields completes. */
   export type Process<R = void> = Generator<unknown, R, never>;
 
   export function go<A extends unknown[]>(
@@ -37,9 +37,9 @@
   ): Instruction;
   export function timeout(milliseconds: number): Channel<never>;
   export function sleep(milliseconds: number): Instruction;
-  /** Puts without blocking; false when nobody takes and the buffer is full or the channel closed. */
+  /** Puts without blocking; false if no process is taking and the buffer is full, or the channel is closed. */
   export function offer<T>(channel: Channel<T>, value: T): boolean;
-  /** Takes without blocking; `NO_VALUE` when there is nothing. */
+  /** Takes without blocking; `NO_VALUE` if no value is available. */
   export function poll<T>(channel: Channel<T>): T | typeof NO_VALUE | null;
   export function putAsync<T>(
     channel: Channel<T>,
--- a/src/types/prom-client-parts.d.ts
+++ b/src/types/prom-client-parts.d.ts
@@ -1,4 +1,4 @@
-/** Types of the single modules of prom-client that this project uses. */
+/** Types for the individual modules of prom-client that ferryspool imports. */
 declare module 'prom-client/lib/counter.js' {
   import { Counter } from 'prom-client';
   export default Counter;
--- a/src/types/restructure.d.ts
+++ b/src/types/restructure.d.ts
@@ -1,6 +1,6 @@
 /** Types for the parts of `restructure` that ferryspool uses. */
 declare module 'restructure' {
-  /** Writes binary fields into a buffer that is large enough for all of them. */
+  /** Writes binary fields into a buffer, which must be large enough. */
   export class EncodeStream {
     constructor(buffer: Uint8Array);
     readonly buffer: Uint8Array;
@@ -9,7 +9,7 @@
     writeBuffer(bytes: Uint8Array): void;
   }
 
-  /** Reads binary fields; numbers past the end throw RangeError, buffers past the end come short. */
+  /** Reads binary fields; reading a number past the end throws RangeError, reading a buffer past the end truncates it. */
   export class DecodeStream {
     constructor(buffer: Uint8Array);
     readonly buffer: Uint8Array;
@@ -19,7 +19,7 @@
     readBuffer(length: number): Uint8Array;
   }
 
-  /** Anything that can be a field of a {@link Struct}. */
+  /** Type of a field of a {@link Struct}. */
   export interface FieldType<T> {
     /** Encoded size, in bytes. */
     size(value: T, context?: unknown): number;
@@ -27,7 +27,7 @@
     decode(stream: DecodeStream, context?: unknown): T;
   }
 
-  /** Fields in the order in which they are declared. */
+  /** Encodes fields in the order in which they are declared. */
   export class Struct<T extends object> implements FieldType<T> {
     constructor(fields: { readonly [K in keyof T]: FieldType<T[K]> });
     size(value: T, context?: unknown): number;
--- a/src/wire/codec.ts
+++ b/src/wire/codec.ts
@@ -1,6 +1,7 @@
 /**
- * Codec of the peer protocol: messages to frames and back. A frame is a three-byte length, a head
- * (`frame-head.ts`) and a payload laid out as `message-layouts.ts` says, compressed where that pays.
+ * Codec of the peer protocol: encodes messages into frames and decodes them. A frame consists of a three-byte
+ * length, a head (`frame-head.ts`) and a payload with a layout from `message-layouts.ts`. Large payloads are
+ * compressed where that makes them smaller.
  */
 import { DecodeStream, EncodeStream, type FieldType } from 'restructure';
 import { FrameError } from './frame-error.js';
@@ -20,11 +21,11 @@
   inflatePayload,
 } from './payload-compression.js';
 
-/** Bytes of the number of an extended type. */
+/** Size of an extended type number, in bytes. */
 const EXTENSION_BYTES = 1;
 const FRAME_HEADER_BYTES = LENGTH_PREFIX_BYTES + HEAD_BYTES;
 
-/** The frame of a message. Throws {@link FrameError} `oversized`, or `malformed` for bad values. */
+/** Encodes a message as a frame. Throws {@link FrameError} `oversized`, or `malformed` for invalid values. */
 export function encodeMessage(message: PeerMessage): Buffer {
   const typeNumber = MESSAGE_TYPE_NUMBERS[message.type];
   const headNumber = Math.min(typeNumber, FIRST_EXTENDED_TYPE_NUMBER);
@@ -32,14 +33,14 @@
   return isCompressible(message, frame.length) ? compressFrame(frame, message.type) : frame;
 }
 
-/** Bytes of {@link encodeMessage}'s frame; tags and records of the link's protection come on top. */
+/** Size of {@link encodeMessage}'s frame, without the authentication tag and TLS record overhead of the link. */
 export function encodedSize(message: PeerMessage): number {
   const layout = layoutOf(message.type) as FieldType<PeerMessage>;
   const plainBytes = FRAME_HEADER_BYTES + layout.size(message);
   return isCompressible(message, plainBytes) ? encodeMessage(message).length : plainBytes;
 }
 
-/** The message in a frame's body. Throws {@link FrameError}; the body's memory is not kept. */
+/** Decodes a frame's body. Throws {@link FrameError}. The message does not reference the body's memory. */
 export function decodeMessage(body: Uint8Array): PeerMessage {
   const head = decodeHead(body);
   const payload = body.subarray(HEAD_BYTES);
@@ -50,7 +51,7 @@
     throw new FrameError('unknown-type', `type number ${typeNumber}`);
   }
   const layout = layoutOf(type) as FieldType<object>;
-  const message = { type, ...decodeWhole(layout, plain) } as PeerMessage;
+  const message = { type, ...decodeExact(layout, plain) } as PeerMessage;
   checkMessage(message);
   return message;
 }
@@ -69,7 +70,7 @@
     : extendedLayout(typeNumber - FIRST_EXTENDED_TYPE_NUMBER, layout);
 }
 
-/** The payload of an extended type, whose number is known before it is decoded. */
+/** Adds the type number to the payload. Decoding skips it, because the type is resolved beforehand. */
 function extendedLayout<T>(extension: number, layout: FieldType<T>): FieldType<T> {
   return {
     size: (value) => EXTENSION_BYTES + layout.size(value),
@@ -84,11 +85,14 @@
   };
 }
 
-/** A frame of any layout: length, head and the uncompressed payload. */
+/** Encodes a value of any layout as a frame: length, head and uncompressed payload. */
 export function encodeFrame<T>(typeNumber: number, layout: FieldType<T>, value: T): Buffer {
   const bodyBytes = HEAD_BYTES + layout.size(value);
   if (bodyBytes > MAX_FRAME_BYTES) {
-    throw new FrameError('oversized', `${bodyBytes} bytes, at most ${MAX_FRAME_BYTES}`);
+    throw new FrameError(
+      'oversized',
+      `body of ${bodyBytes} bytes exceeds the limit of ${MAX_FRAME_BYTES}`,
+    );
   }
   const frame = Buffer.allocUnsafe(LENGTH_PREFIX_BYTES + bodyBytes);
   writeHeader(frame, encodeHead({ typeNumber, compressed: false }));
@@ -96,8 +100,8 @@
   return frame;
 }
 
-/** The value of a payload that must be used up to its last byte. Throws `malformed`. */
-export function decodeWhole<T>(layout: FieldType<T>, payload: Uint8Array): T {
+/** Decodes a payload and throws {@link FrameError} `malformed` unless every byte is consumed. */
+export function decodeExact<T>(layout: FieldType<T>, payload: Uint8Array): T {
   const stream = new DecodeStream(payload);
   let value: T;
   try {
@@ -114,11 +118,11 @@
   return value;
 }
 
-/** Messages from a byte stream. After an error the stream can not be read on. */
+/** Decodes messages from a byte stream. After an error, the stream cannot be decoded any further. */
 export class FrameDecoder {
   private readonly reader = new FrameReader();
 
-  /** The messages that `chunk` completes. Throws {@link FrameError}. */
+  /** Returns the messages that `chunk` completes. Throws {@link FrameError}. */
   push(chunk: Buffer): PeerMessage[] {
     this.reader.push(chunk);
     const messages: PeerMessage[] = [];
@@ -128,7 +132,7 @@
     return messages;
   }
 
-  /** To be called when the stream ends; throws {@link FrameError} `truncated` inside a frame. */
+  /** Must be called when the stream ends; throws {@link FrameError} `truncated` inside a frame. */
   finish(): void {
     this.reader.finish();
   }
@@ -146,10 +150,13 @@
   if (compressed === undefined) {
     return frame;
   }
-  const smaller = Buffer.allocUnsafe(FRAME_HEADER_BYTES + compressed.length);
-  writeHeader(smaller, encodeHead({ typeNumber: MESSAGE_TYPE_NUMBERS[type], compressed: true }));
-  smaller.set(compressed, FRAME_HEADER_BYTES);
-  return smaller;
+  const compressedFrame = Buffer.allocUnsafe(FRAME_HEADER_BYTES + compressed.length);
+  writeHeader(
+    compressedFrame,
+    encodeHead({ typeNumber: MESSAGE_TYPE_NUMBERS[type], compressed: true }),
+  );
+  compressedFrame.set(compressed, FRAME_HEADER_BYTES);
+  return compressedFrame;
 }
 
 function writeHeader(frame: Buffer, head: number): void {
@@ -157,9 +164,12 @@
   frame[LENGTH_PREFIX_BYTES] = head;
 }
 
-/** Rules that a layout can not express. */
+/** Checks constraints that a layout cannot express. */
 function checkMessage(message: PeerMessage): void {
   if (message.type === 'snapshot-chunk' && message.index >= message.count) {
-    throw new FrameError('malformed', `part ${message.index} of ${message.count}`);
+    throw new FrameError(
+      'malformed',
+      `chunk index ${message.index} with a count of ${message.count}`,
+    );
   }
 }
--- a/src/wire/field-types.ts
+++ b/src/wire/field-types.ts
@@ -1,20 +1,20 @@
 /**
- * Field types of the peer protocol's layouts, for `restructure`. Every decoder checks its bounds
- * against the bytes that are there, and throws {@link FrameError} `malformed`.
+ * `restructure` field types for the layouts of the peer protocol. Every decoder checks lengths and counts
+ * against the bytes available and throws {@link FrameError} `malformed` if they do not fit.
  */
 import { isUtf8 } from 'node:buffer';
 import { Struct, type DecodeStream, type EncodeStream, type FieldType } from 'restructure';
 import { FrameError } from './frame-error.js';
 
-/** Longest identity, zone, region or slot, in bytes. */
+/** Maximum length of an identity, zone, region or slot, in bytes. */
 export const MAX_SHORT_TEXT_BYTES = 255;
 
-/** Bits of a number that one byte of a varint carries, as a factor. */
+/** Each byte of a varint carries seven bits of the number. */
 const VARINT_BASE = 128;
-/** Bytes of the varint of the largest safe integer. */
+/** Size of the largest safe integer as a varint, in bytes. */
 const MAX_VARINT_BYTES = 8;
 const IPV4_BYTES = 4;
-/** Four numbers from 0 to 255 without leading zeros: what decoding gives back as it was. */
+/** Four numbers from 0 to 255 without leading zeros, the form in which decoding returns an address. */
 const CANONICAL_IPV4 =
   /^(?:(?:25[0-5]|2[0-4]\d|1\d\d|[1-9]?\d)\.){3}(?:25[0-5]|2[0-4]\d|1\d\d|[1-9]?\d)$/;
 
@@ -24,37 +24,41 @@
 
 function requireInteger(value: number): void {
   if (!Number.isSafeInteger(value) || value < 0) {
-    throw malformed(`${value} is not a safe integer from 0`);
+    throw malformed(`${value} is not a non-negative safe integer`);
   }
 }
 
 function readBytes(stream: DecodeStream, length: number): Buffer {
   if (length > stream.length - stream.pos) {
-    throw malformed(`${length} bytes announced, ${stream.length - stream.pos} left`);
+    throw malformed(`length ${length} exceeds the ${stream.length - stream.pos} bytes left`);
   }
   const bytes = stream.buffer.subarray(stream.pos, stream.pos + length);
   stream.pos += length;
   return Buffer.from(bytes.buffer, bytes.byteOffset, length);
 }
 
-/** Integer from 0 to 2^53 - 1, seven bits a byte, lowest first (LEB128). */
+/** Integer from 0 to 2^53 - 1, seven bits per byte, least significant first (LEB128). */
 export const varint: FieldType<number> = {
   size(value) {
     requireInteger(value);
     let bytes = 1;
-    for (let rest = value; rest >= VARINT_BASE; rest = Math.floor(rest / VARINT_BASE)) {
+    for (
+      let remaining = value;
+      remaining >= VARINT_BASE;
+      remaining = Math.floor(remaining / VARINT_BASE)
+    ) {
       bytes += 1;
     }
     return bytes;
   },
   encode(stream, value) {
     requireInteger(value);
-    let rest = value;
-    while (rest >= VARINT_BASE) {
-      stream.writeUInt8((rest % VARINT_BASE) + VARINT_BASE);
-      rest = Math.floor(rest / VARINT_BASE);
+    let remaining = value;
+    while (remaining >= VARINT_BASE) {
+      stream.writeUInt8((remaining % VARINT_BASE) + VARINT_BASE);
+      remaining = Math.floor(remaining / VARINT_BASE);
     }
-    stream.writeUInt8(rest);
+    stream.writeUInt8(remaining);
   },
   decode(stream) {
     let value = 0;
@@ -72,7 +76,7 @@
   },
 };
 
-/** A duration in milliseconds; fractions are rounded up, so that a wait is never shortened. */
+/** A duration in milliseconds. Fractions are rounded up so that a delay is never shortened. */
 export const durationMs: FieldType<number> = {
   size: (value) => varint.size(Math.ceil(value)),
   encode: (stream, value) => {
@@ -81,12 +85,12 @@
   decode: (stream) => varint.decode(stream),
 };
 
-/** UTF-8 text under its length in bytes, which is at most `maxBytes`. */
+/** UTF-8 text of at most `maxBytes`, prefixed with its length in bytes. */
 export function text(maxBytes: number): FieldType<string> {
   function lengthOf(value: string): number {
     const length = Buffer.byteLength(value);
     if (length > maxBytes) {
-      throw malformed(`text of ${length} bytes, at most ${maxBytes}`);
+      throw malformed(`text of ${length} bytes exceeds the limit of ${maxBytes}`);
     }
     return length;
   }
@@ -113,7 +117,7 @@
 
 function readText(stream: DecodeStream, length: number, maxBytes: number): string {
   if (length > maxBytes) {
-    throw malformed(`text of ${length} bytes, at most ${maxBytes}`);
+    throw malformed(`text of ${length} bytes exceeds the limit of ${maxBytes}`);
   }
   const bytes = readBytes(stream, length);
   if (!isUtf8(bytes)) {
@@ -122,7 +126,7 @@
   return bytes.toString('utf8');
 }
 
-/** An IPv4 address in five bytes; any other text as itself. A length of 0 stands for IPv4. */
+/** An IP address. A canonical IPv4 address is a length of 0 and four bytes; any other is encoded as text. */
 export const ipAddress: FieldType<string> = {
   size: (value) => (isCanonicalIpv4(value) ? 1 + IPV4_BYTES : shortText.size(value)),
   encode(stream, value) {
@@ -152,14 +156,14 @@
 /** Text of an identity, a zone, a region or a slot. */
 export const shortText: FieldType<string> = text(MAX_SHORT_TEXT_BYTES);
 
-/** A digest of `length` bytes, in lower-case hexadecimal digits to the program. */
+/** A digest of `length` bytes, represented in memory as lower-case hexadecimal digits. */
 export function hexDigest(length: number): FieldType<string> {
   return {
     size: () => length,
     encode(stream, value) {
       const bytes = Buffer.from(value, 'hex');
       if (bytes.length !== length || value.length !== length * 2) {
-        throw malformed(`digest is not ${length * 2} hexadecimal digits`);
+        throw malformed(`expected a digest of ${length * 2} hexadecimal digits`);
       }
       stream.writeBuffer(bytes);
     },
@@ -173,7 +177,7 @@
     size: () => length,
     encode(stream, value) {
       if (value.length !== length) {
-        throw malformed(`${value.length} bytes in place of ${length}`);
+        throw malformed(`got ${value.length} bytes, expected ${length}`);
       }
       stream.writeBuffer(value);
     },
@@ -181,7 +185,7 @@
   };
 }
 
-/** One of a few values, as its position in `values`; positions must never change. */
+/** One of `values`, encoded as its index. The index of a value must never change. */
 export function oneOf<T extends string | boolean>(values: readonly T[]): FieldType<T> {
   return {
     size: () => 1,
@@ -202,7 +206,7 @@
   };
 }
 
-/** Items under their count; the count must fit the bytes that are left. */
+/** A list prefixed with its item count. The count must not exceed the number of bytes left. */
 export function list<T>(item: FieldType<T>): FieldType<readonly T[]> {
   return {
     size: (values) =>
@@ -216,7 +220,7 @@
     decode(stream) {
       const count = varint.decode(stream);
       if (count > stream.length - stream.pos) {
-        throw malformed(`${count} items announced, ${stream.length - stream.pos} bytes left`);
+        throw malformed(`item count ${count} exceeds the ${stream.length - stream.pos} bytes left`);
       }
       const values: T[] = [];
       while (values.length < count) {
@@ -227,13 +231,12 @@
   };
 }
 
-/** A field of a struct, by its name. */
 type NamedField = readonly [name: string, type: FieldType<unknown>];
 
 /**
- * A struct of values that stand one after the other, decoded to a plain object. The library's own structs
- * may hold pointers, for which they work out each size twice, and hidden links to their parents, which cost
- * more than the fields of a short message.
+ * A struct of consecutive fields, decoded to a plain object. The library's own structs support pointers, for
+ * which they compute each size twice, and non-enumerable references to their parents, which cost more than the
+ * fields of a short message.
  */
 export class PlainStruct<T extends object> extends Struct<T> {
   private readonly namedFields: readonly NamedField[];
@@ -259,7 +262,7 @@
     }
   }
 
-  /** Fields without a value are left out. */
+  /** Omits fields that decode to undefined. */
   override decode(stream: DecodeStream): T {
     const values: Record<string, unknown> = {};
     for (const [name, type] of this.namedFields) {
--- a/src/wire/frame-error.ts
+++ b/src/wire/frame-error.ts
@@ -1,12 +1,12 @@
-/** Errors of the peer protocol's frames. */
+/** Errors in encoding and decoding frames of the peer protocol. */
 
 /**
- * - `oversized`: a frame, or a message to be sent, is longer than the limit.
+ * - `oversized`: a received frame or an outgoing message exceeds the size limit.
  * - `truncated`: the stream ended inside a frame.
- * - `wrong-version`: another version of the protocol.
- * - `unknown-type`: no message has this type number, or it may not come at this point.
- * - `malformed`: the payload does not follow the type's layout.
- * - `inflated-oversized`: a compressed payload inflates past the limit.
+ * - `wrong-version`: the frame has a different protocol version.
+ * - `unknown-type`: no message has this type number, or the type is not allowed at this point.
+ * - `malformed`: the payload does not match the type's layout.
+ * - `inflated-oversized`: a compressed payload exceeds the size limit when inflated.
  * - `forged`: the authentication tag of a frame does not match.
  */
 export const FRAME_ERROR_CODES = [
@@ -19,10 +19,10 @@
   'forged',
 ] as const;
 
-/** Why a frame can not be taken or sent; see {@link FRAME_ERROR_CODES}. */
+/** See {@link FRAME_ERROR_CODES}. */
 export type FrameErrorCode = (typeof FRAME_ERROR_CODES)[number];
 
-/** A frame that can not be taken, or a message that can not be sent as one. */
+/** Thrown for a frame that cannot be decoded or a message that cannot be encoded. */
 export class FrameError extends Error {
   override readonly name = 'FrameError';
 
--- a/src/wire/frame-reader.ts
+++ b/src/wire/frame-reader.ts
@@ -1,34 +1,34 @@
 /**
- * Cuts a byte stream into frames. A frame is a length of three bytes, big-endian, and a body of that
- * length. Memory follows the bytes that arrived, never a length that was only announced.
+ * Splits a byte stream into frames. A frame is a big-endian length of three bytes and a body of that
+ * length. Memory is allocated for bytes received, never for the length that a prefix declares.
  */
 import { FrameError } from './frame-error.js';
 
-/** Bytes of the length before each body. */
+/** Size of the length prefix, in bytes. */
 export const LENGTH_PREFIX_BYTES = 3;
-/** Longest body of a frame, and longest payload once inflated, in bytes. */
+/** Maximum size of a frame's body and of an inflated payload, in bytes. */
 export const MAX_FRAME_BYTES = 1_048_576;
 
-const NOTHING = Buffer.alloc(0);
+const EMPTY_BUFFER = Buffer.alloc(0);
 
-/** Collects the bytes of one stream. Take every frame with {@link next} after each {@link push}. */
+/** Buffers the bytes of one stream. Call {@link next} until it returns undefined after each {@link push}. */
 export class FrameReader {
-  private buffer: Buffer = NOTHING;
+  private buffer: Buffer = EMPTY_BUFFER;
   private start = 0;
   private end = 0;
-  /** Whether `buffer` was allocated here, so that its free part may be written. */
-  private owned = false;
+  /** Whether `buffer` was allocated here and may therefore be appended to. */
+  private ownsBuffer = false;
 
-  /** `maxFrameBytes` bounds the body of a frame; it may be changed between two frames. */
+  /** `maxFrameBytes` limits the body of a frame; it may be changed between frames. */
   constructor(public maxFrameBytes: number = MAX_FRAME_BYTES) {}
 
-  /** Adds bytes that arrived. Bodies that were returned before are invalid from here on. */
+  /** Appends received bytes. This invalidates the bodies returned before. */
   push(chunk: Buffer): void {
     if (this.start === this.end) {
       this.buffer = chunk;
       this.start = 0;
       this.end = chunk.length;
-      this.owned = false;
+      this.ownsBuffer = false;
       return;
     }
     this.reserve(chunk.length);
@@ -37,19 +37,22 @@
   }
 
   /**
-   * The body of the next whole frame, or undefined until more bytes come.
+   * Returns the body of the next complete frame, or undefined if more bytes are needed.
    * Throws {@link FrameError} `oversized`, or `malformed` for an empty frame.
    */
   next(): Buffer | undefined {
     if (this.bufferedBytes < LENGTH_PREFIX_BYTES) {
-      return this.releaseWhenEmpty();
+      return this.releaseIfEmpty();
     }
     const length = this.buffer.readUIntBE(this.start, LENGTH_PREFIX_BYTES);
     if (length === 0) {
-      throw new FrameError('malformed', 'no body');
+      throw new FrameError('malformed', 'empty frame');
     }
     if (length > this.maxFrameBytes) {
-      throw new FrameError('oversized', `${length} bytes, at most ${this.maxFrameBytes}`);
+      throw new FrameError(
+        'oversized',
+        `body of ${length} bytes exceeds the limit of ${this.maxFrameBytes}`,
+      );
     }
     const bodyStart = this.start + LENGTH_PREFIX_BYTES;
     if (this.end < bodyStart + length) {
@@ -59,31 +62,31 @@
     return this.buffer.subarray(bodyStart, this.start);
   }
 
-  /** To be called when the stream ends; throws {@link FrameError} `truncated` inside a frame. */
+  /** Must be called when the stream ends; throws {@link FrameError} `truncated` inside a frame. */
   finish(): void {
     if (this.bufferedBytes > 0) {
-      throw new FrameError('truncated', `${this.bufferedBytes} bytes of an unfinished frame`);
+      throw new FrameError('truncated', `${this.bufferedBytes} bytes of an incomplete frame`);
     }
   }
 
-  /** Bytes that arrived and belong to no returned frame. */
+  /** Number of bytes received that are not part of a returned frame. */
   get bufferedBytes(): number {
     return this.end - this.start;
   }
 
-  private releaseWhenEmpty(): undefined {
+  private releaseIfEmpty(): undefined {
     if (this.bufferedBytes === 0) {
-      this.buffer = NOTHING;
+      this.buffer = EMPTY_BUFFER;
       this.start = 0;
       this.end = 0;
-      this.owned = false;
+      this.ownsBuffer = false;
     }
     return undefined;
   }
 
-  /** Makes room for `bytes` more: at most twice what has arrived. */
+  /** Ensures capacity for `bytes` more. Allocates at most twice the number of bytes received. */
   private reserve(bytes: number): void {
-    if (this.owned && this.end + bytes <= this.buffer.length) {
+    if (this.ownsBuffer && this.end + bytes <= this.buffer.length) {
       return;
     }
     const needed = this.bufferedBytes + bytes;
@@ -92,6 +95,6 @@
     this.buffer = grown;
     this.end = this.bufferedBytes;
     this.start = 0;
-    this.owned = true;
+    this.ownsBuffer = true;
   }
 }
--- a/src/wire/message-layouts.ts
+++ b/src/wire/message-layouts.ts
@@ -1,4 +1,4 @@
-/** Binary layouts of the peer protocol's messages, one for each type, in the order of the fields. */
+/** Binary layouts of the peer protocol's messages. Fields are encoded in the order in which they are listed. */
 import type { FieldType } from 'restructure';
 import { uint16 } from 'restructure';
 import { suspicionLayout } from '../containment/suspicion-layout.js';
@@ -29,19 +29,18 @@
 } from './message.js';
 import { replicationBody } from './replication-layout.js';
 
-/** Bytes of a digest of one document. */
+/** Size of the digest of a document, in bytes. */
 const DOCUMENT_DIGEST_BYTES = 16;
-/** Bytes of the digest of all held versions, in a heartbeat. */
+/** Size of a heartbeat's digest of all held versions, in bytes. */
 const VERSIONS_DIGEST_BYTES = 8;
-/** Bytes of the digest of a claim. */
+/** Size of the digest of a claim, in bytes. */
 const CLAIM_DIGEST_BYTES = 16;
-/** Positions on the wire; append only. */
+/** Encoded by index: append only. */
 const MEMBER_STATUSES: readonly MemberStatus[] = ['alive', 'suspect', 'dead', 'leaving'];
 
-/** The names of the messages. */
 export type PeerMessageType = PeerMessage['type'];
 
-/** A message of one type without the type, which travels in the frame's head. */
+/** A message of one type without the type, which is encoded in the frame's head. */
 export type MessageBody<T extends PeerMessageType> = Omit<
   Extract<PeerMessage, { type: T }>,
   'type'
@@ -74,7 +73,7 @@
   changedAt: varint,
 });
 
-/** Layout of an identity; the handshake's proofs cover exactly these bytes. */
+/** Layout of an identity. The handshake's proofs authenticate exactly these bytes. */
 export const peerIdentityLayout = new PlainStruct<PeerIdentity>({
   id: shortText,
   incarnation: varint,
@@ -90,7 +89,6 @@
   status: oneOf(MEMBER_STATUSES),
 });
 
-/** Layouts by type. */
 export const MESSAGE_LAYOUTS: {
   readonly [T in PeerMessageType]: FieldType<MessageBody<T>>;
 } = {
@@ -140,12 +138,12 @@
 };
 
 /**
- * From this number on a type stands in the first byte of the payload, as its distance from here: the head
- * has room for no greater one.
+ * First extended type number, and the largest that fits into the head. The head of an extended type contains
+ * this number, and the first byte of the payload contains the difference from it.
  */
 export const FIRST_EXTENDED_TYPE_NUMBER = 15;
 
-/** Type numbers on the wire; a number is never given to another type. */
+/** Type numbers on the wire. A number must never be reused for another type. */
 export const MESSAGE_TYPE_NUMBERS: Readonly<Record<PeerMessageType, number>> = {
   heartbeat: 0,
   versions: 1,
@@ -165,5 +163,4 @@
   suspicions: 15,
 };
 
-/** Every type of message. */
 export const MESSAGE_TYPES = Object.keys(MESSAGE_TYPE_NUMBERS) as readonly PeerMessageType[];
--- a/src/wire/message.ts
+++ b/src/wire/message.ts
@@ -1,6 +1,6 @@
 /**
- * Messages of the peer protocol, after the handshake. Every message travels on a link between two
- * nodes that have proved to each other that they hold the fleet key.
+ * Messages of the peer protocol after the handshake, in which both nodes of a link have proved to each
+ * other that they have the fleet key.
  */
 import type { Suspicion } from '../containment/suspicion.js';
 import type { DocumentEntry } from '../model/document.js';
@@ -8,11 +8,11 @@
 import type { PeerIdentity } from '../membership/peer-identity.js';
 import type { ReplicationMessage } from '../replication/replication-message.js';
 
-/** The documents that nodes replicate, each with a version of its own that only rises. */
+/** The documents that nodes replicate, each with its own monotonically increasing version. */
 export const DOCUMENT_NAMES = ['source', 'operator', 'machines'] as const;
 /**
- * - `source`: the configuration source's resources.
- * - `operator`: what operators wrote through the resource API.
+ * - `source`: the resources of the configuration source.
+ * - `operator`: changes that operators made through the resource API.
  * - `machines`: the platform's machine list.
  */
 export type DocumentName = (typeof DOCUMENT_NAMES)[number];
@@ -20,27 +20,27 @@
 /** Versions of all documents that a node holds. */
 export type HeldVersions = Readonly<Record<DocumentName, DocumentVersion>>;
 
-/** Sent on every overlay link at the heartbeat interval; also the anti-entropy probe. */
+/** Sent on every overlay link at the heartbeat interval; also serves as the anti-entropy probe. */
 export interface HeartbeatMessage {
   readonly type: 'heartbeat';
-  /** Digest of {@link HeldVersions}, 16 hexadecimal digits; a difference is answered by `versions`. */
+  /** Digest of {@link HeldVersions}, 16 hexadecimal digits; the receiver answers a mismatch with `versions`. */
   readonly versionsDigest: string;
 }
 
-/** Announces what the sender holds: on a new link, on a change, on a digest that differs. */
+/** Announces the sender's versions: on a new link, after a change and on a digest mismatch. */
 export interface VersionsMessage {
   readonly type: 'versions';
   readonly versions: HeldVersions;
 }
 
-/** Asks for a document, as a delta from what the sender holds where possible. */
+/** Requests a document, as a delta from the version `have` where possible. */
 export interface FetchMessage {
   readonly type: 'fetch';
   readonly document: DocumentName;
   readonly have: DocumentVersion;
 }
 
-/** Answers `fetch`, or pushes a change to a neighbour known to hold `from`. */
+/** Answers `fetch`, or pushes a change to a neighbour that is known to have version `from`. */
 export interface DeltaMessage {
   readonly type: 'delta';
   readonly document: DocumentName;
@@ -50,82 +50,82 @@
   readonly removals: readonly string[];
 }
 
-/** One part of a whole document; parts of one version arrive in order on one link. */
+/** One chunk of a full document. The chunks of a version are sent in order on one link. */
 export interface SnapshotChunkMessage {
   readonly type: 'snapshot-chunk';
   readonly document: DocumentName;
   readonly version: DocumentVersion;
-  /** Position of this part, from 0. */
+  /** Zero-based index of this chunk. */
   readonly index: number;
-  /** Parts in all; at least 1. */
+  /** Total number of chunks; at least 1. */
   readonly count: number;
   readonly entries: readonly DocumentEntry[];
 }
 
-/** Refuses `fetch` for now: the sender serves as many snapshots as it may. */
+/** Rejects `fetch` temporarily because the sender has reached its limit of concurrent snapshots. */
 export interface FetchRefusedMessage {
   readonly type: 'fetch-refused';
   readonly document: DocumentName;
   readonly retryAfterMs: number;
 }
 
-/** What is said of a member. `leaving` outranks the rest of its incarnation. */
+/** Status of a member. `leaving` takes precedence over every other status of the same incarnation. */
 export type MemberStatus = 'alive' | 'suspect' | 'dead' | 'leaving';
 
-/** A claim about one member; a higher incarnation wins, then the stronger status. */
+/** Reported status of one member. The higher incarnation takes precedence, then the stronger status. */
 export interface MemberUpdate {
   readonly member: PeerIdentity;
   readonly status: MemberStatus;
 }
 
-/** Claims about members, flooded over the overlay; each is passed on once by a node that learns of it. */
+/** Member updates, flooded over the overlay. A node forwards each update once, when it is new to the node. */
 export interface MembersMessage {
   readonly type: 'members';
   readonly updates: readonly MemberUpdate[];
 }
 
-/** Asks an elector for a reader lease, or renews it. */
+/** Requests a reader lease from an elector, or renews it. */
 export interface LeaseRequestMessage {
   readonly type: 'lease-request';
-  /** What is leased: `zone/index`. */
+  /** The leased reader slot, as `zone/index`. */
   readonly slot: string;
-  /** Echoed in the answer; rises with each request of the sender. */
+  /** Echoed in the answer; increases with each request of the sender. */
   readonly round: number;
   readonly durationMs: number;
 }
 
-/** An elector's answer. A grant binds the elector for the duration, from when it sent the answer. */
+/** An elector's answer. A grant binds the elector for `durationMs` after it sends the answer. */
 export interface LeaseAnswerMessage {
   readonly type: 'lease-answer';
   readonly slot: string;
   readonly round: number;
   readonly granted: boolean;
-  /** When refused: how long until the elector may grant, in milliseconds. */
+  /** If not granted: time until the elector may grant the lease, in milliseconds. */
   readonly retryAfterMs: number;
 }
 
-/** Gives a lease, or a grant that was of no use, back before its end. */
+/** Releases a lease, or an unused grant, before it expires. */
 export interface LeaseReleaseMessage {
   readonly type: 'lease-release';
   readonly slot: string;
-  /** Grants of this round and of earlier ones are given back; a late release frees no later grant. */
+  /** Releases grants of this round and earlier ones, so that a delayed release does not affect later grants. */
   readonly round: number;
 }
 
-/** A source version that was refused whole, so that every node's API can tell why. */
+/** Reports that a source version was rejected, so that every node's API can return the reason. */
 export interface RejectionMessage {
   readonly type: 'rejection';
   readonly version: DocumentVersion;
   readonly reason: string;
 }
 
-/** Carries a message of the replication of operators' writes; they are rare, and coded as JSON. */
+/** Contains a message of the replication of operators' writes. They are rare and encoded as JSON. */
 export interface ReplicationEnvelope {
   readonly type: 'replication';
   readonly body: ReplicationMessage;
 }
 
-/** Steps of a claim on an idempotency key; positions on the wire, append only. */
+/** Steps of a claim on an idempotency key. Encoded by index: append only. */
 export const CLAIM_STEPS = [
   'request',
   'granted',
@@ -136,67 +136,70 @@
   'release',
 ] as const;
 /**
- * - `request`: asks a holder to record the attempt as the first of its key.
- * - `granted`: it is recorded; `claimed`, `finished`: another attempt came first, and what is known
- *   of it; `unready`: this holder cannot tell, or has no room.
- * - `finish`: the attempt ran; `release`: it provably did not and will not run.
+ * - `request`: requests that a holder record the attempt as the first with its key.
+ * - `granted`: the attempt is recorded.
+ * - `claimed`: another attempt was recorded first, and is not known to have finished.
+ * - `finished`: another attempt was recorded first, and has finished.
+ * - `unready`: the holder may lack claims, or is at capacity.
+ * - `finish`: the attempt ran.
+ * - `release`: the attempt provably did not run and will not run.
  */
 export type ClaimStep = (typeof CLAIM_STEPS)[number];
 
-/** One step of a claim between the node of a request and a holder of claims. */
+/** One step of a claim, sent between the node that handles the request and a claim holder. */
 export interface ClaimMessage {
   readonly type: 'claim';
   readonly step: ClaimStep;
-  /** Digest of service and key, 32 hexadecimal digits. */
+  /** Digest of the service and the idempotency key, 32 hexadecimal digits. */
   readonly claim: string;
-  /** Names the attempt; never used twice in the fleet. */
+  /** Identifies the attempt; unique in the fleet. */
   readonly attempt: string;
 }
 
-/** What a holder remembers of one key. */
+/** A holder's record of one idempotency key. */
 export interface ClaimRecord {
   readonly claim: string;
-  /** The attempt that is recorded; empty where holders recorded different ones. */
+  /** The recorded attempt; empty if holders recorded different ones. */
   readonly attempt: string;
   readonly isFinished: boolean;
-  /** How long it is still kept, in milliseconds. */
+  /** Time until the record expires, in milliseconds. */
   readonly remainingMs: number;
 }
 
-/** State of a holder's memory; positions on the wire, append only. */
+/** State of a holder's claim records. Encoded by index: append only. */
 export const CLAIM_MEMORIES = ['recovered', 'fresh', 'new'] as const;
 /**
- * - `recovered`: it knows every claim that may still count.
- * - `fresh`: it started when every holder was new, and knows every claim since.
- * - `new`: it may lack claims, and grants none.
+ * - `recovered`: the holder has every claim that may still be valid.
+ * - `fresh`: the holder started when every holder was new, and has every claim made since.
+ * - `new`: the holder may lack claims, and grants none.
  */
 export type ClaimMemory = (typeof CLAIM_MEMORIES)[number];
 
-/** Asks a holder for all its claims. */
+/** Requests all claims of a holder. */
 export interface ClaimSyncRequestMessage {
   readonly type: 'claim-sync-request';
-  /** Echoed in the parts of the answer. */
+  /** Echoed in every chunk of the answer. */
   readonly round: number;
 }
 
-/** One part of a holder's claims; parts arrive in order on one link. */
+/** One chunk of a holder's claims. Chunks are sent in order on one link. */
 export interface ClaimSyncMessage {
   readonly type: 'claim-sync';
   readonly round: number;
   readonly memory: ClaimMemory;
-  /** Position of this part, from 0, and parts in all. */
+  /** Zero-based index of this chunk. */
   readonly index: number;
+  /** Total number of chunks. */
   readonly count: number;
   readonly records: readonly ClaimRecord[];
 }
 
-/** What the sender knows of requests under which endpoints ended; each is passed on once by a node. */
+/** Suspicions of requests during which endpoints crashed. A node forwards each update once. */
 export interface SuspicionsMessage {
   readonly type: 'suspicions';
   readonly suspicions: readonly Suspicion[];
 }
 
-/** Every message of the peer protocol. */
 export type PeerMessage =
   | HeartbeatMessage
   | VersionsMessage
--- a/src/wire/replication-layout.ts
+++ b/src/wire/replication-layout.ts
@@ -1,6 +1,6 @@
 /**
- * Layout of the replication's messages: JSON text, checked against their schema. They are rare and go
- * among a handful of voters, so that a layout for each would save nothing.
+ * Layout of replication messages: JSON text that is validated against a schema. These messages are rare and
+ * sent only between a handful of voters, so binary layouts would save nothing.
  */
 import type { FieldType } from 'restructure';
 import type { ReplicationMessage } from '../replication/replication-message.js';
@@ -30,7 +30,7 @@
   const parsed = replicationMessageSchema.safeParse(value);
   if (!parsed.success) {
     const path = parsed.error.issues[0]?.path.join('.') ?? '';
-    throw new FrameError('malformed', `replication body at "${path}"`);
+    throw new FrameError('malformed', `replication body is invalid at "${path}"`);
   }
   return parsed.data;
 }
--- a/test/membership/membership.test.ts
+++ b/test/membership/membership.test.ts
@@ -11,14 +11,14 @@
 import type { PeerIdentity } from '../../src/membership/peer-identity.js';
 import { NO_VERSION } from '../../src/model/version.js';
 import type { MemberStatus, PeerMessage } from '../../src/wire/message.js';
-import { NOTHING_HELD_DIGEST } from '../../src/wire/versions-digest.js';
+import { EMPTY_VERSIONS_DIGEST } from '../../src/wire/versions-digest.js';
 import { MapCounters, identityOf, machineOf, seededRandom } from '../control/control-fixtures.js';
 
 const SELF = identityOf(0);
 const PEER = identityOf(1);
 const OTHER = identityOf(2);
 const THIRD = identityOf(3);
-const HEARTBEAT: PeerMessage = { type: 'heartbeat', versionsDigest: NOTHING_HELD_DIGEST };
+const HEARTBEAT: PeerMessage = { type: 'heartbeat', versionsDigest: EMPTY_VERSIONS_DIGEST };
 const FULL_HEARTBEAT: PeerMessage = { type: 'heartbeat', versionsDigest: 'f'.repeat(16) };
 
 /** One control plane whose peers are played by the test. */
--- a/test/model/document.test.ts
+++ b/test/model/document.test.ts
@@ -11,7 +11,7 @@
 }
 
 describe('model/document', () => {
-  it('gives deltas that lead from any older version to the newest', () => {
+  it('provides deltas from any older version to the newest', () => {
     fc.assert(
       fc.property(fc.array(values, { minLength: 2, maxLength: 8 }), (contents) => {
         const documents: VersionedDocument[] = [];
@@ -35,18 +35,18 @@
     );
   });
 
-  it('has a digest that depends on content only, not on the way there', () => {
+  it('has a digest that depends only on the content, not on its history', () => {
     fc.assert(
       fc.property(values, values, (first, second) => {
-        const walked = VersionedDocument.fromValues(1, first).next(2, second);
+        const incremental = VersionedDocument.fromValues(1, first).next(2, second);
         const direct = VersionedDocument.fromValues(2, second);
-        expect(walked.version).to.deep.equal(direct.version);
+        expect(incremental.version).to.deep.equal(direct.version);
       }),
       { seed: 13, numRuns: 300 },
     );
   });
 
-  it('refuses a delta taken from another document of the same number', () => {
+  it('rejects a delta from a different document with the same number', () => {
     const held = VersionedDocument.fromValues(1, new Map([['a', '1']]));
     const other = VersionedDocument.fromValues(1, new Map([['a', '2']]));
     const delta = other
@@ -61,13 +61,13 @@
     expect(() => delta && held.apply(delta)).to.throw(DeltaMismatchError);
   });
 
-  it('gives no delta from before its history or from its own version on', () => {
+  it('provides no delta from a version before its history or from its own version', () => {
     const document = VersionedDocument.fromValues(5, new Map([['a', '1']]));
     expect(document.deltaFrom({ number: 4, digest: '0'.repeat(32) })).to.equal(undefined);
     expect(document.deltaFrom(document.version)).to.equal(undefined);
   });
 
-  it('keeps with each entry the version of its change, over deltas that skip versions', () => {
+  it('preserves changedAt of each entry across deltas that skip versions', () => {
     const first = VersionedDocument.empty().change(1, [{ key: 'a', json: '1' }], []);
     const second = first.change(2, [{ key: 'b', json: '1' }], []);
     const third = second.change(3, [{ key: 'c', json: '1' }], []);
@@ -80,9 +80,11 @@
     expect(assembled.deltaFrom(second.version)).to.equal(undefined);
   });
 
-  it('bounds its tombstones and moves its history with them', () => {
-    const many = new Map(Array.from({ length: MAX_TOMBSTONES + 1 }, (_, i) => [`k${i}`, '1']));
-    const full = VersionedDocument.fromValues(1, many);
+  it('limits its tombstones and shortens its history accordingly', () => {
+    const initialValues = new Map(
+      Array.from({ length: MAX_TOMBSTONES + 1 }, (_, i) => [`k${i}`, '1']),
+    );
+    const full = VersionedDocument.fromValues(1, initialValues);
     const emptied = full.next(2, new Map()).next(3, new Map([['a', '1']]));
     expect(emptied.tombstones).to.have.length(MAX_TOMBSTONES);
     expect(emptied.deltaFrom(full.version)).to.equal(undefined);
--- a/test/model/evacuation.test.ts
+++ b/test/model/evacuation.test.ts
@@ -1,4 +1,4 @@
-/** Evacuations as resources: whose endpoints get no new work, by each way that a snapshot is made. */
+/** Evacuation resources and their effect on endpoints, for each way of creating a snapshot. */
 import { expect } from 'chai';
 import { isInService } from '../../src/model/evacuation.js';
 import { resourceSchema, type Endpoint, type Resource } from '../../src/model/resource.js';
@@ -35,8 +35,8 @@
   return endpoints.filter(isInService).map(({ name }) => name);
 }
 
-describe('the evacuation of a zone', () => {
-  it('leaves the endpoints of other zones in service, and drained ones drained', () => {
+describe('zone evacuation', () => {
+  it('keeps endpoints of other zones in service and draining endpoints draining', () => {
     expect(namesInService(snapshotOf())).to.deep.equal(['e1', 'e2']);
     expect(namesInService(snapshotOf('z1'))).to.deep.equal(['e2']);
     expect(namesInService(snapshotOf('z2'))).to.deep.equal(['e1']);
@@ -44,14 +44,14 @@
     expect(namesInService(snapshotOf('z9'))).to.deep.equal(['e1', 'e2']);
   });
 
-  it('is a resource like others, and changes none of them', () => {
+  it('is an ordinary resource and does not modify others', () => {
     const { resources, evacuatedZones } = snapshotOf('z1');
     expect([...evacuatedZones]).to.deep.equal(['z1']);
     expect(resources.has('evacuation/z1')).to.equal(true);
     expect(resources.get('endpoint/e1')).to.not.have.property('isEvacuated');
   });
 
-  it('gives lists of endpoints that did not change as the same objects', () => {
+  it('reuses endpoint lists that did not change', () => {
     const base = buildSnapshot(NO_SNAPSHOT_VERSION, parse(echoService()));
     const endpoints = parse(ENDPOINTS) as Endpoint[];
     const evacuatedZones = new Set(['z1']);
@@ -62,7 +62,7 @@
     expect(namesInService(third)).to.deep.equal(['e1', 'e2']);
   });
 
-  it('puts no trial of a suspected request into the zone', () => {
+  it('selects no trial endpoint for a suspected request in the zone', () => {
     const endpoints = snapshotOf('z1').endpointsByService.get('echo') ?? [];
     for (const fingerprint of ['a', 'b', 'c', 'd', 'e']) {
       const names = trialEndpoints(endpoints, fingerprint, new Set()).map(({ name }) => name);
@@ -70,7 +70,7 @@
     }
   });
 
-  it('takes nothing besides its zone', () => {
+  it('accepts no fields in its spec', () => {
     expect(
       resourceSchema.safeParse({ kind: 'evacuation', name: 'z1', spec: { until: 1 } }).success,
     ).to.equal(false);
--- a/test/model/incarnation.test.ts
+++ b/test/model/incarnation.test.ts
@@ -1,4 +1,4 @@
-/** Which entries of an endpoint speak of the same start of it. */
+/** Which endpoint resources represent the same start of an endpoint. */
 import { expect } from 'chai';
 import { incarnationOf, startedBefore } from '../../src/model/incarnation.js';
 import { resourceSchema, type Endpoint } from '../../src/model/resource.js';
@@ -10,37 +10,37 @@
 
 describe('incarnations of an endpoint', () => {
   const same = [
-    { what: 'its state', spec: { bornAtMs: 7, state: 'draining' } },
-    { what: 'its slots', spec: { bornAtMs: 7, slots: 3 } },
+    { field: 'its state', spec: { bornAtMs: 7, state: 'draining' } },
+    { field: 'its slots', spec: { bornAtMs: 7, slots: 3 } },
   ];
-  for (const { what, spec } of same) {
-    it(`are one where ${what} changes`, () => {
+  for (const { field, spec } of same) {
+    it(`are the same when ${field} changes`, () => {
       expect(incarnationOf(endpoint(spec))).to.equal(incarnationOf(endpoint({ bornAtMs: 7 })));
     });
   }
 
   const others = [
-    { what: 'another birth', one: endpoint({ bornAtMs: 8 }) },
-    { what: 'no birth', one: endpoint() },
-    { what: 'another name', one: endpoint({ bornAtMs: 7 }, 'e2') },
-    { what: 'another port', one: endpoint({ bornAtMs: 7 }, 'e1', 2) },
-    { what: 'another address', one: endpoint({ bornAtMs: 7, address: '127.0.0.2' }) },
+    { difference: 'a different start time', one: endpoint({ bornAtMs: 8 }) },
+    { difference: 'no start time', one: endpoint() },
+    { difference: 'a different name', one: endpoint({ bornAtMs: 7 }, 'e2') },
+    { difference: 'a different port', one: endpoint({ bornAtMs: 7 }, 'e1', 2) },
+    { difference: 'a different address', one: endpoint({ bornAtMs: 7, address: '127.0.0.2' }) },
   ];
-  for (const { what, one } of others) {
-    it(`are several with ${what}`, () => {
+  for (const { difference, one } of others) {
+    it(`differ with ${difference}`, () => {
       expect(incarnationOf(one)).to.not.equal(incarnationOf(endpoint({ bornAtMs: 7 })));
     });
   }
 
-  it('are in order where both are told', () => {
-    const [early, late, untold] = [
+  it('are ordered if both start times are known', () => {
+    const [early, late, unspecified] = [
       endpoint({ bornAtMs: 7 }),
       endpoint({ bornAtMs: 8 }),
       endpoint(),
     ];
     expect(startedBefore(early, late)).to.equal(true);
     expect([startedBefore(late, early), startedBefore(early, early)]).to.deep.equal([false, false]);
-    expect([startedBefore(untold, late), startedBefore(late, untold)]).to.deep.equal([
+    expect([startedBefore(unspecified, late), startedBefore(late, unspecified)]).to.deep.equal([
       false,
       false,
     ]);
--- a/test/model/merge.test.ts
+++ b/test/model/merge.test.ts
@@ -29,7 +29,7 @@
     maxConnections: 130,
   },
 };
-const whole = [service, secret, route, endpoint];
+const allResources = [service, secret, route, endpoint];
 
 function documentOf(entries: Record<string, unknown>): VersionedDocument {
   return VersionedDocument.fromValues(
@@ -47,8 +47,8 @@
 
 describe('model/source-document', () => {
   const refusals: { name: string; value: unknown; path: string }[] = [
-    { name: 'no object', value: 'text', path: '' },
-    { name: 'version zero', value: { version: 0, resources: whole }, path: 'version' },
+    { name: 'a value that is not an object', value: 'text', path: '' },
+    { name: 'version zero', value: { version: 0, resources: allResources }, path: 'version' },
     { name: 'unknown key', value: { version: 1, resources: [], extra: 1 }, path: '' },
     {
       name: 'route without its service',
@@ -66,7 +66,7 @@
       path: 'endpoint/tiles-1',
     },
     {
-      name: 'name twice',
+      name: 'duplicate name',
       value: { version: 1, resources: [service, service] },
       path: 'service/tiles',
     },
@@ -79,7 +79,7 @@
       path: 'resources.1.spec.port',
     },
     {
-      name: 'host name for an address',
+      name: 'host name instead of an address',
       value: {
         version: 1,
         resources: [service, { ...endpoint, spec: { ...endpoint.spec, address: 'example.org' } }],
@@ -88,7 +88,7 @@
     },
   ];
   for (const refusal of refusals) {
-    it(`refuses whole: ${refusal.name}`, () => {
+    it(`rejects the document: ${refusal.name}`, () => {
       try {
         parseSourceDocument(refusal.value);
       } catch (error) {
@@ -98,17 +98,19 @@
         expect((error as Error).message).to.not.include('hidden-value');
         return;
       }
-      expect.fail('expected a refusal');
+      expect.fail('expected a rejection');
     });
   }
 
-  it('takes a whole document', () => {
-    expect(parseSourceDocument({ version: 1, resources: whole }).resources).to.have.length(4);
+  it('accepts a valid document', () => {
+    expect(parseSourceDocument({ version: 1, resources: allResources }).resources).to.have.length(
+      4,
+    );
   });
 });
 
 describe('model/merge', () => {
-  it('lays operator entries over the source and takes deletions', () => {
+  it('applies operator entries and deletions to the source', () => {
     const other = { ...endpoint, name: 'tiles-2' };
     const operator = documentOf({ 'endpoint/tiles-1': null, 'endpoint/tiles-2': other });
     const { snapshot, suspended } = mergeDocuments(sourceDocument, operator);
@@ -130,12 +132,12 @@
     },
   ];
   suspensions.push({
-    name: 'an entry that is no resource',
+    name: 'an entry that is not a resource',
     entries: { 'service/x': { kind: 'service', name: 'x' } },
     path: 'service/x',
   });
   for (const { name, entries, path } of suspensions) {
-    it(`suspends ${name} and serves the rest`, () => {
+    it(`suspends ${name} and applies the others`, () => {
       const merged = mergeDocuments(sourceDocument, documentOf(entries));
       expect(merged.suspended.map((fault) => fault.path)).to.deep.equal([path]);
       expect(merged.snapshot.resources).to.have.property('size', 4);
@@ -152,31 +154,31 @@
     expect(merged.snapshot.routes.map((one) => one.name)).to.include('a');
   });
 
-  it('leaves reserved entries of the operators document out of the snapshot', () => {
+  it('excludes reserved entries of the operators document from the snapshot', () => {
     const merged = mergeDocuments(sourceDocument, documentOf({ 'meta/voters': { epoch: 1 } }));
     expect(merged.suspended).to.deep.equal([]);
-    expect([...merged.snapshot.resources.keys()]).to.have.length(whole.length);
+    expect([...merged.snapshot.resources.keys()]).to.have.length(allResources.length);
   });
 
-  it('refuses a source that dangles, with the operators document as no excuse', () => {
+  it('rejects dangling references in the source even if the operators document resolves them', () => {
     const dangling = documentOf({ 'route/tiles': route });
     const operator = documentOf({ 'service/tiles': service, 'secret/key': secret });
     expect(() => mergeDocuments(dangling, operator)).to.throw(InvalidConfigurationError);
   });
 
-  it('suspends operator entries beyond the bound on resources, but not those in place', () => {
+  it('suspends operator entries beyond the resource limit, but not those that replace a resource', () => {
     const operator = documentOf({
       'service/another': { ...service, name: 'another' },
       'service/tiles': { ...service, spec: { requestTimeoutMs: 7 } },
     });
-    const merged = mergeDocuments(sourceDocument, operator, whole.length);
+    const merged = mergeDocuments(sourceDocument, operator, allResources.length);
     expect(merged.suspended.map((fault) => fault.path)).to.deep.equal(['service/another']);
     expect(merged.snapshot.services.get('tiles')?.spec.requestTimeoutMs).to.equal(7);
   });
 
-  it('refuses a source beyond the bound, whatever operators delete from it', () => {
+  it('rejects a source beyond the resource limit even if operators delete resources', () => {
     const operator = documentOf({ 'endpoint/tiles-1': null });
-    const merge = (): unknown => mergeDocuments(sourceDocument, operator, whole.length - 1);
+    const merge = (): unknown => mergeDocuments(sourceDocument, operator, allResources.length - 1);
     expect(merge).to.throw(InvalidConfigurationError, 'expected at most 3');
   });
 });
--- a/test/model/version.test.ts
+++ b/test/model/version.test.ts
@@ -6,7 +6,7 @@
 const version: fc.Arbitrary<DocumentVersion> = fc.record({ number: fc.nat(3), digest });
 
 describe('model/version', () => {
-  it('orders versions totally', () => {
+  it('defines a total order', () => {
     fc.assert(
       fc.property(version, version, version, (a, b, c) => {
         expect(Math.sign(compareVersions(a, b))).to.equal(-Math.sign(compareVersions(b, a)) + 0);
@@ -21,7 +21,7 @@
     );
   });
 
-  it('never takes a lower number as newer, whatever its digest', () => {
+  it('never considers a lower number newer, regardless of the digest', () => {
     const low = { number: 4, digest: 'f'.repeat(32) };
     const high = { number: 5, digest: '0'.repeat(32) };
     expect(isNewer(low, high)).to.equal(false);
--- a/test/settings/load-settings.test.ts
+++ b/test/settings/load-settings.test.ts
@@ -16,7 +16,10 @@
   return loadSettings(FILE, overrides, () => text);
 }
 
-function fault(text: string, overrides: Parameters<typeof loadSettings>[1] = []): SettingsError {
+function loadError(
+  text: string,
+  overrides: Parameters<typeof loadSettings>[1] = [],
+): SettingsError {
   try {
     load(text, overrides);
   } catch (error) {
@@ -27,7 +30,7 @@
 }
 
 describe('loadSettings', () => {
-  it('fills in every default and the listeners addresses', () => {
+  it('fills in all defaults and the listener addresses', () => {
     const settings = load(BASE);
     expect(settings.callerAddress).to.equal('10.0.0.1');
     expect(settings.adminAddress).to.equal('10.0.0.1');
@@ -37,7 +40,7 @@
     expect(settings.platform).to.equal(undefined);
   });
 
-  it('reads JSON too, and flags win over the file', () => {
+  it('accepts JSON, and flags take precedence over the file', () => {
     const json = JSON.stringify({
       machine: { id: 'm1', address: '::1', zone: 'a', region: 'r' },
       fleetKey: SECRET,
@@ -52,7 +55,7 @@
     expect(settings.machine.address).to.equal('::1');
   });
 
-  it('needs no file when flags say everything', () => {
+  it('needs no file if flags provide all required settings', () => {
     const overrides = Object.entries({ id: 'm', address: '10.0.0.2', zone: 'z', region: 'r' }).map(
       ([name, value]) => ({ path: `machine.${name}`, value }),
     );
@@ -61,10 +64,10 @@
   });
 
   const refused: readonly (readonly [string, string, RegExp])[] = [
-    ['no YAML', 'machine: [', /^node\.yaml: expected YAML or JSON; .* line 1/],
+    ['invalid YAML', 'machine: [', /^node\.yaml: expected YAML or JSON; .* line 1/],
     ['a list', '[]', /^node\.yaml: expected a map of settings$/],
     ['an empty file', '', /^node\.yaml: expected a map/],
-    ['a key that stands twice', `${BASE}\nfleetKey: other-other-other`, /DUPLICATE_KEY at line 5/],
+    ['a duplicate key', `${BASE}\nfleetKey: other-other-other`, /DUPLICATE_KEY at line 5/],
     [
       'an alias bomb',
       `a: &a [${'x,'.repeat(9)}]\nb: &b [${'*a,'.repeat(99)}]\nc: [${'*b,'.repeat(99)}]`,
@@ -74,23 +77,39 @@
     ['a short key', BASE.replace(SECRET, 'short'), /^node\.yaml: fleetKey: .*>=16 characters$/],
     ['an unknown key', `${BASE}color: blue`, /^node\.yaml: color: no such setting$/],
     ['an unknown nested key', `${BASE}lease: { durationSecs: 3 }`, /lease\.durationSecs: no such/],
-    ['a prototype key', `${BASE}__proto__: { a: 1 }`, /^node\.yaml: __proto__: no such setting$/],
+    ['a __proto__ key', `${BASE}__proto__: { a: 1 }`, /^node\.yaml: __proto__: no such setting$/],
     ['a host name', BASE.replace('10.0.0.1', 'localhost'), /machine\.address = "localhost": exp/],
     ['a high port', `${BASE}ports: { relay: 65536 }`, /ports\.relay = 65536: .*<=65535/],
     ['a fractional port', `${BASE}ports: { relay: 1.5 }`, /ports\.relay = 1\.5: .*int/],
-    ['a text number', `${BASE}lease: { durationMs: 6s }`, /lease\.durationMs = "6s": .*number/],
-    ['not a number', `${BASE}lease: { durationMs: .nan }`, /lease\.durationMs/],
+    [
+      'text instead of a number',
+      `${BASE}lease: { durationMs: 6s }`,
+      /lease\.durationMs = "6s": .*number/,
+    ],
+    ['NaN', `${BASE}lease: { durationMs: .nan }`, /lease\.durationMs/],
     ['a zero interval', `${BASE}overlay: { heartbeatIntervalMs: 0 }`, /IntervalMs = 0: .*>=1/],
-    ['a slow renewal', `${BASE}lease: { renewIntervalMs: 9000 }`, /= 9000: expected less than/],
     [
-      'an early suspicion',
+      'a renewal interval above the lease duration',
+      `${BASE}lease: { renewIntervalMs: 9000 }`,
+      /= 9000: expected less than/,
+    ],
+    [
+      'a suspicion timeout below the heartbeat interval',
       `${BASE}overlay: { suspectAfterMs: 100 }`,
       /expected more than overlay\.h/,
     ],
-    ['an early death', `${BASE}overlay: { deadAfterMs: 4000 }`, /expected more than overlay\.susp/],
-    ['an unknown level', `${BASE}log: { level: loud }`, /log\.level = "loud": .*"error"\|"warn"/],
     [
-      'another protocol',
+      'a death timeout below the suspicion timeout',
+      `${BASE}overlay: { deadAfterMs: 4000 }`,
+      /expected more than overlay\.susp/,
+    ],
+    [
+      'an unknown log level',
+      `${BASE}log: { level: loud }`,
+      /log\.level = "loud": .*"error"\|"warn"/,
+    ],
+    [
+      'an unsupported URL protocol',
       `${BASE}platform: { configurationUrl: "file:///x", machinesUrl: "http://10.0.0.9/m" }`,
       /platform\.configurationUrl = "file:.*: expected an http/,
     ],
@@ -107,7 +126,7 @@
       /ports\.admin = 8081: .*ports\.relay/,
     ],
     [
-      'two listeners on one port of another address',
+      'two listeners on one port of a configured address',
       `${BASE}callerAddress: 10.0.0.9\nadminAddress: 10.0.0.9\nports: { admin: 8080 }`,
       /ports\.admin = 8080: expected a port that is not ports\.caller/,
     ],
@@ -117,18 +136,18 @@
       /machine\.id = .{80}\.\.\.: /,
     ],
   ];
-  for (const [what, text, message] of refused) {
-    it(`refuses ${what}, naming file, path, value and what was expected`, () => {
-      expect(fault(text).message).to.match(message);
+  for (const [description, text, message] of refused) {
+    it(`rejects ${description} with file, path, value and expectation`, () => {
+      expect(loadError(text).message).to.match(message);
     });
   }
 
-  it('refuses a flag below a setting that is no section', () => {
-    const error = fault(`${BASE}seeds: []`, [{ path: 'seeds.x', value: 1 }]);
+  it('rejects a flag whose path passes through a setting that is not a section', () => {
+    const error = loadError(`${BASE}seeds: []`, [{ path: 'seeds.x', value: 1 }]);
     expect(error.message).to.match(/seeds\.x: expected seeds to be a section/);
   });
 
-  it('takes one port on two addresses, and any number of free ports', () => {
+  it('accepts one port on two addresses, and any number of zero ports', () => {
     const ports = 'ports: { caller: 0, relay: 0, control: 8082, admin: 8082 }';
     expect(load(`${BASE}adminAddress: 127.0.0.1\n${ports}`).ports.admin).to.equal(8082);
   });
@@ -138,13 +157,13 @@
     ['a misspelt key', `${BASE}fleetkey: ${SECRET}`],
     ['a key of another type', BASE.replace(SECRET, `[${SECRET}]`)],
     ['a private key in a broken section', `${BASE}tls: { keyPem: ${SECRET} }`],
-    ['a section that is text', `${BASE}tls: ${SECRET}`],
-    ['a syntax error beside the key', `${BASE.trimEnd()}: {[ "${SECRET}`],
-    ['a whole file that is text', SECRET],
+    ['text instead of a section', `${BASE}tls: ${SECRET}`],
+    ['a syntax error next to the key', `${BASE.trimEnd()}: {[ "${SECRET}`],
+    ['a file that is plain text', SECRET],
   ];
-  for (const [what, text] of leaks) {
-    it(`prints no secret for ${what}`, () => {
-      const error = fault(text);
+  for (const [description, text] of leaks) {
+    it(`prints no secret for ${description}`, () => {
+      const error = loadError(text);
       expect(`${error.message} ${JSON.stringify(error.faults)} ${error.stack}`).not.to.contain(
         'hunter2',
       );
@@ -153,7 +172,7 @@
 });
 
 describe('maskSecrets', () => {
-  it('masks every secret and keeps the rest', () => {
+  it('masks secrets and preserves other settings', () => {
     const tls =
       '{ certificatePem: -----BEGIN C, keyPem: -----BEGIN K, authorityPem: -----BEGIN A }';
     const text = `${BASE}adminToken: ${SECRET}\ntls: ${tls}`;
@@ -165,7 +184,7 @@
 });
 
 describe('defaultSettings', () => {
-  it('marks what is required and is otherwise accepted by the schema', () => {
+  it('marks required settings and otherwise satisfies the schema', () => {
     const defaults = defaultSettings();
     expect(defaults['fleetKey']).to.equal(REQUIRED_VALUE);
     const machine = { id: 'm', address: '10.0.0.1', zone: 'z', region: 'r' };
--- a/test/settings/settings-files.test.ts
+++ b/test/settings/settings-files.test.ts
@@ -40,7 +40,7 @@
       /node\.yaml: expected at most 1048576 bytes/,
     ],
     [
-      'bytes that are no UTF-8',
+      'invalid UTF-8',
       (path) => {
         writeFileSync(path, Buffer.from([0x61, 0x3a, 0x20, 0xff, 0xfe]));
         return path;
@@ -48,13 +48,13 @@
       /node\.yaml: expected UTF-8 text/,
     ],
   ];
-  for (const [what, prepare, message] of unreadable) {
-    it(`refuse ${what}, naming file and cause`, () => {
+  for (const [description, prepare, message] of unreadable) {
+    it(`rejects ${description} with file and cause`, () => {
       expect(() => loadSettings(prepare(file))).to.throw(SettingsError, message);
     });
   }
 
-  /** Writes a settings file with a `tls` section, and the certificates beside it. */
+  /** Writes a settings file with a `tls` section, and the certificates in the same folder. */
   function loadWith(tls: Record<string, string>): ReturnType<typeof loadSettings> {
     for (const name of ['node.pem', 'node-key.pem', 'authority.pem', 'other-node-key.pem']) {
       writeFileSync(join(folder, name), pem(name));
@@ -70,7 +70,7 @@
     authorityPem: 'authority.pem',
   };
 
-  it('take certificates from files beside them, or as text', () => {
+  it('accepts certificates as files relative to the settings file, or as text', () => {
     const { tls } = loadWith({ ...complete, authorityPem: pem('authority.pem') });
     expect(tls).to.deep.equal({
       certificatePem: pem('node.pem'),
@@ -83,12 +83,12 @@
     ['a missing PEM file', { certificatePem: 'none.pem' }, /tls\.certificatePem: .*\(ENOENT\)/],
     ['an empty PEM file', { authorityPem: 'empty.pem' }, /tls\.authorityPem: expected a PEM cert/],
     [
-      'a key in place of a certificate',
+      'a key instead of a certificate',
       { certificatePem: 'node-key.pem' },
       /tls\.certificatePem: exp/,
     ],
     [
-      'a certificate in place of a key',
+      'a certificate instead of a key',
       { keyPem: 'node.pem' },
       /tls\.keyPem: expected a PEM private/,
     ],
@@ -103,8 +103,8 @@
       /tls\.keyPem: expected a/,
     ],
   ];
-  for (const [what, change, message] of refused) {
-    it(`refuse ${what}, without any of its content`, () => {
+  for (const [description, change, message] of refused) {
+    it(`rejects ${description} without revealing its content`, () => {
       let text = '';
       try {
         loadWith({ ...complete, ...change });
--- a/test/wire/codec.test.ts
+++ b/test/wire/codec.test.ts
@@ -39,7 +39,7 @@
 
 describe('codec', () => {
   for (const type of MESSAGE_TYPES) {
-    it(`gives back every ${type}, whole and cut anywhere, and knows its size`, () => {
+    it(`decodes every encoded ${type}, also when split into chunks, and computes its size`, () => {
       fc.assert(
         fc.property(arbitraryMessage(type), fc.infiniteStream(fc.nat(400)), (message, cuts) => {
           const bytes = encodeMessage(message);
@@ -55,7 +55,7 @@
     });
   }
 
-  it('never fails otherwise than by a FrameError, whatever the bytes', () => {
+  it('throws only FrameError for arbitrary bytes', () => {
     const damaged = fc
       .tuple(fc.constantFrom(...MESSAGE_TYPES), fc.context())
       .chain(([type]) => fc.tuple(arbitraryMessage(type), fc.nat(200), fc.nat(255)));
@@ -71,11 +71,11 @@
     );
   });
 
-  it('sends a heartbeat in 12 bytes', () => {
+  it('encodes a heartbeat in 12 bytes', () => {
     expect(encodeMessage(HEARTBEAT)).to.have.length(12);
   });
 
-  it('compresses a large snapshot part', () => {
+  it('compresses a large snapshot chunk', () => {
     const plain = bodyOf({ ...sampleChunk(1), entries: [] } as PeerMessage);
     const large = sampleChunk(100);
     expect(plain[0]).to.equal(head(4)[0]);
@@ -97,60 +97,60 @@
     type: 'members',
     updates: [{ member: { ...identity, controlPort: 1, relayPort: 2 }, status: 'alive' }],
   };
-  const badStatus = bodyOf(members);
-  badStatus[badStatus.length - 1] = 9;
-  const swappedPart = { ...sampleChunk(0), index: 0, count: 1 } as PeerMessage;
-  const badPart = bodyOf(swappedPart);
-  badPart[badPart.length - 3] = 1;
+  const invalidStatus = bodyOf(members);
+  invalidStatus[invalidStatus.length - 1] = 9;
+  const chunk = { ...sampleChunk(0), index: 0, count: 1 } as PeerMessage;
+  const invalidIndex = bodyOf(chunk);
+  invalidIndex[invalidIndex.length - 3] = 1;
 
   const faults: readonly [string, Buffer, FrameErrorCode][] = [
-    ['text of another protocol', Buffer.from('GET / HTTP/1.1\r\n\r\n'), 'oversized'],
+    ['HTTP request', Buffer.from('GET / HTTP/1.1\r\n\r\n'), 'oversized'],
     ['frame one byte over the limit', Buffer.from([0x10, 0x00, 0x01]), 'oversized'],
-    ['longest possible length', Buffer.alloc(64, 0xff), 'oversized'],
+    ['maximum length prefix', Buffer.alloc(64, 0xff), 'oversized'],
     ['empty frame', Buffer.alloc(3), 'malformed'],
     ['version 0', frame(Buffer.from([0x00])), 'wrong-version'],
     ['next version', frame(Buffer.from([0x40, ...Buffer.alloc(8)])), 'wrong-version'],
-    ['type without a message', frame(head(15)), 'unknown-type'],
+    ['extended type without a number', frame(head(15)), 'unknown-type'],
     [
-      'type number of no message',
+      'unassigned extended type number',
       frame(Buffer.concat([head(15), Buffer.from([1])])),
       'unknown-type',
     ],
-    ['last type number', frame(Buffer.concat([head(15), Buffer.from([255])])), 'unknown-type'],
-    ['payload cut short', frame(bodyOf(HEARTBEAT).subarray(0, 5)), 'malformed'],
+    ['largest type number', frame(Buffer.concat([head(15), Buffer.from([255])])), 'unknown-type'],
+    ['truncated payload', frame(bodyOf(HEARTBEAT).subarray(0, 5)), 'malformed'],
     ['payload too long', frame(Buffer.concat([bodyOf(HEARTBEAT), head(0)])), 'malformed'],
     ['more items than bytes', frame(Buffer.concat([head(6), longNumber.fill(0x7f)])), 'malformed'],
     ['number of nine bytes', frame(Buffer.concat([head(5), Buffer.alloc(10, 0x80)])), 'malformed'],
     ['number above 2^53', frame(Buffer.concat([head(5), unsafeNumber])), 'malformed'],
     ['text that is not UTF-8', frame(Buffer.concat([head(9), invalidUtf8])), 'malformed'],
     ['unknown document', frame(Buffer.concat([head(5), Buffer.from([3, 0])])), 'malformed'],
-    ['unknown status', frame(badStatus), 'malformed'],
-    ['part beyond the count', frame(badPart), 'malformed'],
-    ['broken compression', frame(Buffer.concat([head(3, true), longNumber])), 'malformed'],
+    ['unknown status', frame(invalidStatus), 'malformed'],
+    ['chunk index beyond the count', frame(invalidIndex), 'malformed'],
+    ['invalid deflate data', frame(Buffer.concat([head(3, true), longNumber])), 'malformed'],
     [
-      'replication without JSON',
+      'replication body with invalid JSON',
       frame(Buffer.concat([head(11), Buffer.from('\x01{')])),
       'malformed',
     ],
     [
-      'replication of no type',
+      'replication body without a type',
       frame(Buffer.concat([head(11), Buffer.from('\x02{}')])),
       'malformed',
     ],
     ['inflated over the limit', frame(Buffer.concat([head(3, true), bomb])), 'inflated-oversized'],
   ];
   for (const [name, bytes, code] of faults) {
-    it(`refuses: ${name}`, () => {
+    it(`rejects: ${name}`, () => {
       expect(errorCode(() => new FrameDecoder().push(bytes))).to.equal(code);
     });
   }
 
-  it('tells a stream that ends inside a frame', () => {
-    const whole = encodeMessage(HEARTBEAT);
-    for (let length = 0; length <= whole.length; length += 1) {
+  it('detects a stream that ends inside a frame', () => {
+    const encoded = encodeMessage(HEARTBEAT);
+    for (let length = 0; length <= encoded.length; length += 1) {
       const decoder = new FrameDecoder();
-      decoder.push(whole.subarray(0, length));
-      const expected = length % whole.length === 0 ? undefined : 'truncated';
+      decoder.push(encoded.subarray(0, length));
+      const expected = length % encoded.length === 0 ? undefined : 'truncated';
       expect(
         errorCode(() => {
           decoder.finish();
@@ -167,25 +167,25 @@
       'malformed',
     ],
     [
-      'endless wait',
+      'infinite duration',
       { type: 'lease-request', slot: 's', round: 1, durationMs: Infinity },
       'malformed',
     ],
-    ['bad digest', { type: 'heartbeat', versionsDigest: 'xyz' }, 'malformed'],
-    ['long slot', { type: 'lease-release', slot: 's'.repeat(256), round: 1 }, 'malformed'],
+    ['invalid digest', { type: 'heartbeat', versionsDigest: 'xyz' }, 'malformed'],
+    ['oversized slot', { type: 'lease-release', slot: 's'.repeat(256), round: 1 }, 'malformed'],
   ];
   for (const [name, message, code] of unencodable) {
-    it(`does not encode: ${name}`, () => {
+    it(`refuses to encode: ${name}`, () => {
       expect(errorCode(() => encodeMessage(message))).to.equal(code);
     });
   }
 
-  it('needs the bound on inflating: without it the bomb gives more than a frame may hold', () => {
+  it('requires an inflation limit: the test payload inflates beyond the frame limit', () => {
     expect(inflateRawSync(bomb).length).to.be.above(MAX_FRAME_BYTES);
     expect(bomb.length).to.be.below(MAX_FRAME_BYTES / 500);
   });
 
-  it('keeps memory to what arrived when a long frame is announced', () => {
+  it('allocates memory only for received bytes when a large frame is declared', () => {
     const before = process.memoryUsage().arrayBuffers;
     const readers = Array.from({ length: 200 }, () => {
       const reader = new FrameReader();
--- a/test/wire/message-arbitraries.ts
+++ b/test/wire/message-arbitraries.ts
@@ -1,4 +1,4 @@
-/** Arbitrary messages of the peer protocol, and one sample of each type. */
+/** Arbitraries and samples of peer protocol messages. */
 import fc from 'fast-check';
 import type { PeerIdentity } from '../../src/membership/peer-identity.js';
 import type { DocumentEntry } from '../../src/model/document.js';
@@ -43,7 +43,7 @@
   status: fc.constantFrom(...statuses),
 });
 
-const part = fc
+const chunkPosition = fc
   .nat(1_000)
   .chain((index) =>
     fc.record({ index: fc.constant(index), count: fc.integer({ min: index + 1, max: 2_000 }) }),
@@ -56,7 +56,7 @@
   remainingMs: integer,
 });
 
-/** Arbitrary bodies by type. */
+/** Arbitraries of message bodies by type. */
 export const ARBITRARY_BODIES: {
   readonly [T in PeerMessageType]: fc.Arbitrary<MessageBody<T>>;
 } = {
@@ -73,7 +73,7 @@
     removals: fc.array(anyText),
   }),
   'snapshot-chunk': fc
-    .tuple(fc.record({ document: documentName, version, entries: fc.array(entry) }), part)
+    .tuple(fc.record({ document: documentName, version, entries: fc.array(entry) }), chunkPosition)
     .map(([body, position]) => ({ ...body, ...position })),
   'fetch-refused': fc.record({ document: documentName, retryAfterMs: integer }),
   members: fc.record({ updates: fc.array(memberUpdate) }),
@@ -96,7 +96,7 @@
         memory: fc.constantFrom(...CLAIM_MEMORIES),
         records: fc.array(claimRecord),
       }),
-      part,
+      chunkPosition,
     )
     .map(([body, position]) => ({ ...body, ...position })),
   suspicions: fc.record({
@@ -111,7 +111,7 @@
   }),
 };
 
-/** Arbitrary messages of one type. */
+/** Returns an arbitrary for messages of one type. */
 export function arbitraryMessage(type: PeerMessageType): fc.Arbitrary<PeerMessage> {
   const body = ARBITRARY_BODIES[type] as fc.Arbitrary<object>;
   return body.map((fields) => ({ type, ...fields }) as PeerMessage);
@@ -124,7 +124,7 @@
 
 export const HEARTBEAT: PeerMessage = { type: 'heartbeat', versionsDigest: '00ff10ef20df30cf' };
 
-/** A part of a snapshot with `count` entries of about 300 bytes, alike as real resources are. */
+/** A snapshot chunk with `count` entries of about 300 bytes, as similar to each other as real resources. */
 export function sampleChunk(count: number): PeerMessage {
   const entries = Array.from({ length: count }, (_, index) => ({
     key: `endpoint/payments-${index}`,
--- a/test/wire/replication-arbitraries.ts
+++ b/test/wire/replication-arbitraries.ts
@@ -1,4 +1,4 @@
-/** Arbitrary messages of the replication of operators' writes. */
+/** Arbitraries of replication messages for operators' writes. */
 import fc from 'fast-check';
 import type { ReplicationMessage } from '../../src/replication/replication-message.js';
 
@@ -55,8 +55,8 @@
   return fc.record(required).map((fields) => ({ type, ...fields }));
 }
 
-/** The message with or without an operation that is pending. */
-function perhapsPending<Message extends ReplicationMessage>(
+/** Adds an optional pending operation to the message. */
+function withOptionalPending<Message extends ReplicationMessage>(
   message: fc.Arbitrary<Message>,
 ): fc.Arbitrary<ReplicationMessage> {
   return fc
@@ -64,18 +64,19 @@
     .map(([fields, pending]) => (pending === null ? fields : { ...fields, pending }));
 }
 
-/** Any message of the replication. */
 export const arbitraryReplicationMessage: fc.Arbitrary<ReplicationMessage> = fc.oneof(
   tagged('prepare', { ballot, commitNumber: count, operation }),
   tagged('prepare-ok', { ballot, number: count }),
   tagged('commit', { ballot, commitNumber: count }),
   tagged('start-view-change', { ballot }),
-  perhapsPending(tagged('do-view-change', { ballot, lastNormalView: count, commitNumber: count })),
-  perhapsPending(tagged('start-view', { ballot, commitNumber: count })),
+  withOptionalPending(
+    tagged('do-view-change', { ballot, lastNormalView: count, commitNumber: count }),
+  ),
+  withOptionalPending(tagged('start-view', { ballot, commitNumber: count })),
   tagged('get-state', {}),
-  perhapsPending(tagged('new-state', { ballot, normal: fc.boolean(), state })),
+  withOptionalPending(tagged('new-state', { ballot, normal: fc.boolean(), state })),
   tagged('formation-request', { ...formation, number: count }),
-  perhapsPending(
+  withOptionalPending(
     tagged('formation-answer', {
       ...formation,
       willing: fc.boolean(),
