--- a/src/cli/commands/explain.ts
+++ b/src/cli/commands/explain.ts
@@ -1,8 +1,8 @@
 /** `ferryspool explain REQUEST-ID [FILE...]`: what the nodes' logs say of one request. */
 import { readFileSync } from 'node:fs';
-import { readLog } from '../../explain/log-entry.js';
-import { tellStory } from '../../explain/request-story.js';
-import { storyText } from '../../explain/story-text.js';
+import { parseLog } from '../../explain/log-entry.js';
+import { traceRequest } from '../../explain/request-trace.js';
+import { formatTrace } from '../../explain/trace-text.js';
 import { UsageError, type Command } from '../command.js';
 import { ExitCode } from '../exit-code.js';
 
@@ -15,9 +15,9 @@
     throw new UsageError('explain: expected the id of a request');
   }
   const texts = files.length === 0 ? [readText(STANDARD_INPUT)] : files.map(readText);
-  const { entries, skippedLines } = readLog(texts.join('\n'));
-  const steps = tellStory(entries, requestId);
-  output.write(storyText(requestId, steps, skippedLines));
+  const { entries, skippedLines } = parseLog(texts.join('\n'));
+  const steps = traceRequest(entries, requestId);
+  output.write(formatTrace(requestId, steps, skippedLines));
   return Promise.resolve(steps.length === 0 ? ExitCode.NotFound : ExitCode.Success);
 };
 
--- a/src/explain/log-entry.ts
+++ b/src/explain/log-entry.ts
@@ -1,30 +1,29 @@
-/** Lines of nodes' logs, read back. */
+/** Parses the logs of nodes. */
 
-/** One line. */
 export interface LogEntry {
   readonly event: string;
   readonly machine: string;
-  /** As the machine's clock told it; clocks differ between machines. */
+  /** Time by the machine's clock; clocks differ between machines. */
   readonly time: string;
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
-/** All lines that could be read. */
-export interface LogReading {
+/** All lines that could be parsed. */
+export interface ParsedLog {
   readonly entries: readonly LogEntry[];
-  /** Lines that are not a node's, or are cut off. */
+  /** Number of lines that are truncated or were not written by a node. */
   readonly skippedLines: number;
 }
 
-/** Reads the text of logs; what stands before the first brace of a line is passed over. */
-export function readLog(text: string): LogReading {
+/** Parses log text. Any prefix before the first brace of a line is ignored. */
+export function parseLog(text: string): ParsedLog {
   const entries: LogEntry[] = [];
   let skippedLines = 0;
   for (const line of text.split('\n')) {
     if (line.trim() === '') {
       continue;
     }
-    const entry = readLine(line);
+    const entry = parseLine(line);
     if (entry === undefined) {
       skippedLines += 1;
     } else {
@@ -34,7 +33,7 @@
   return { entries, skippedLines };
 }
 
-function readLine(line: string): LogEntry | undefined {
+function parseLine(line: string): LogEntry | undefined {
   try {
     const value = JSON.parse(line.slice(line.indexOf('{'))) as Record<string, unknown>;
     const { event, machine, time, level, ...fields } = value;
--- a/src/explain/request-story.ts
+++ b/src/explain/request-trace.ts
@@ -1,35 +1,33 @@
 /**
- * What the logs of all nodes say of one request, in the order in which it happened. Machines' clocks
- * differ, so lines are not put in order by time: the node beside an endpoint decides on an attempt
- * before the caller's node learns of it, and attempts follow each other by number.
+ * Traces a request through the logs of all nodes, in causal order. Entries are not sorted by time, because the
+ * clocks of machines differ. Instead, attempts are sorted by number, and within an attempt the entries of the
+ * node next to the endpoint precede those of the caller's node, which receives the outcome later.
  */
 import { ATTEMPT_SEPARATOR } from '../proxy/request-log.js';
 import type { LogEntry } from './log-entry.js';
 
-/** What a machine believed when it wrote a line. */
-export interface MachineState {
-  /** Number of the configuration in force; undefined before the first. */
+/** State of a node, as known to it when it wrote a log entry. */
+export interface NodeState {
+  /** Number of the active configuration; undefined before the first. */
   readonly configuration: number | undefined;
-  /** Whether the store answered. */
-  readonly isStoreReached: boolean;
-  /** Zones whose endpoints got no new work. */
+  readonly isStoreReachable: boolean;
+  /** Zones whose endpoints received no new requests. */
   readonly evacuatedZones: readonly string[];
-  /** Machines of which nothing was heard. */
-  readonly silentPeers: readonly string[];
-  /** Whether the node was about to stop. */
+  readonly unresponsivePeers: readonly string[];
+  /** Whether the node was shutting down. */
   readonly isStopping: boolean;
 }
 
-/** One step of a request. */
-export interface StoryStep {
+/** One log entry of a request, with the state of the node that wrote it. */
+export interface TraceStep {
   readonly entry: LogEntry;
-  readonly state: MachineState;
+  readonly state: NodeState;
 }
 
-/** Where a line stands among those of a request. */
+/** Sort key of a log entry within a request. */
 interface Position {
   readonly attempt: number;
-  /** 0 for the node beside the endpoint, 1 for the caller's node, 2 for its answer to the caller. */
+  /** 0 for the node next to the endpoint, 1 for the caller's node, 2 for its answer to the caller. */
   readonly stage: number;
 }
 
@@ -37,29 +35,29 @@
 const CALLER_STAGE = 1;
 const ENDPOINT_STAGE = 0;
 
-/** The steps of the request that its caller named `requestId`. */
-export function tellStory(entries: readonly LogEntry[], requestId: string): StoryStep[] {
-  const steps: StoryStep[] = [];
-  const states = new Map<string, MachineState>();
+/** Returns the steps of the request to which the caller assigned `requestId`. */
+export function traceRequest(entries: readonly LogEntry[], requestId: string): TraceStep[] {
+  const steps: TraceStep[] = [];
+  const states = new Map<string, NodeState>();
   for (const entry of entries) {
     const state = nextState(states.get(entry.machine) ?? INITIAL_STATE, entry);
     states.set(entry.machine, state);
-    if (isOfRequest(entry, requestId)) {
+    if (belongsToRequest(entry, requestId)) {
       steps.push({ entry, state });
     }
   }
   return steps.sort((left, right) => comparePositions(left.entry, right.entry));
 }
 
-const INITIAL_STATE: MachineState = {
+const INITIAL_STATE: NodeState = {
   configuration: undefined,
-  isStoreReached: true,
+  isStoreReachable: true,
   evacuatedZones: [],
-  silentPeers: [],
+  unresponsivePeers: [],
   isStopping: false,
 };
 
-function nextState(state: MachineState, { event, fields }: LogEntry): MachineState {
+function nextState(state: NodeState, { event, fields }: LogEntry): NodeState {
   switch (event) {
     case 'node-started':
       return { ...INITIAL_STATE, configuration: state.configuration };
@@ -73,13 +71,16 @@
         evacuatedZones: state.evacuatedZones.filter((zone) => zone !== fields.zone),
       };
     case 'store-lost':
-      return { ...state, isStoreReached: false };
+      return { ...state, isStoreReachable: false };
     case 'store-regained':
-      return { ...state, isStoreReached: true };
+      return { ...state, isStoreReachable: true };
     case 'peer-silent':
-      return { ...state, silentPeers: [...state.silentPeers, String(fields.peer)] };
+      return { ...state, unresponsivePeers: [...state.unresponsivePeers, String(fields.peer)] };
     case 'peer-heard-again':
-      return { ...state, silentPeers: state.silentPeers.filter((peer) => peer !== fields.peer) };
+      return {
+        ...state,
+        unresponsivePeers: state.unresponsivePeers.filter((peer) => peer !== fields.peer),
+      };
     case 'node-stopping':
       return { ...state, isStopping: true };
     default:
@@ -87,7 +88,7 @@
   }
 }
 
-function isOfRequest({ fields }: LogEntry, requestId: string): boolean {
+function belongsToRequest({ fields }: LogEntry, requestId: string): boolean {
   const { request } = fields;
   return (
     typeof request === 'string' &&
--- a/test/explain/explain.test.ts
+++ b/test/explain/explain.test.ts
@@ -1,13 +1,13 @@
-/** From a request's id to its cause, out of logs that are interleaved, cut off and of skewed clocks. */
+/** Tracing a request through logs that are interleaved or truncated and whose clocks are skewed. */
 import { expect } from 'chai';
 import { explainCommand } from '../../src/cli/commands/explain.js';
 import { ExitCode } from '../../src/cli/exit-code.js';
-import { readLog } from '../../src/explain/log-entry.js';
-import { tellStory } from '../../src/explain/request-story.js';
-import { storyText } from '../../src/explain/story-text.js';
+import { parseLog } from '../../src/explain/log-entry.js';
+import { traceRequest } from '../../src/explain/request-trace.js';
+import { formatTrace } from '../../src/explain/trace-text.js';
 import { runCommand, temporaryFiles } from '../cli/cli-fixture.js';
 
-function line(machine: string, time: string, event: string, fields: object = {}): string {
+function logLine(machine: string, time: string, event: string, fields: object = {}): string {
   return JSON.stringify({
     machine,
     ...fields,
@@ -17,27 +17,30 @@
   });
 }
 
-/** The caller's node is five seconds ahead of the other one. */
+/** The clock of the caller's node is five seconds ahead of the endpoint's. */
 const CALLER_LOG = [
-  line('caller', '05.000', 'configuration-in-force', { number: 7 }),
-  line('caller', '05.100', 'attempt-failed', { request: 'id1', attempt: 1, code: 'OVERLOADED' }),
-  line('caller', '05.150', 'store-lost', { reason: 'status 503' }),
-  line('caller', '05.200', 'peer-silent', { peer: '10.0.0.9' }),
-  line('caller', '05.300', 'attempt-failed', {
+  logLine('caller', '05.000', 'configuration-in-force', { number: 7 }),
+  logLine('caller', '05.100', 'attempt-failed', { request: 'id1', attempt: 1, code: 'OVERLOADED' }),
+  logLine('caller', '05.150', 'store-lost', { reason: 'status 503' }),
+  logLine('caller', '05.200', 'peer-silent', { peer: '10.0.0.9' }),
+  logLine('caller', '05.300', 'attempt-failed', {
     request: 'id1',
     attempt: 2,
     code: 'CONNECTION_LOST',
   }),
-  line('caller', '05.301', 'request-failed', { request: 'id1', code: 'CONNECTION_LOST' }),
-  line('caller', '05.302', 'request-failed', { request: 'id10', code: 'ROUTE_NOT_FOUND' }),
+  logLine('caller', '05.301', 'request-failed', { request: 'id1', code: 'CONNECTION_LOST' }),
+  logLine('caller', '05.302', 'request-failed', { request: 'id10', code: 'ROUTE_NOT_FOUND' }),
 ];
 const ENDPOINT_LOG = [
-  line('endpoint', '00.090', 'attempt-refused', { request: 'id1/m-1.1', code: 'queue-full' }),
-  line('endpoint', '00.290', 'endpoint-failed', { request: 'id1/m-1.2', code: 'CONNECTION_LOST' }),
+  logLine('endpoint', '00.090', 'attempt-refused', { request: 'id1/m-1.1', code: 'queue-full' }),
+  logLine('endpoint', '00.290', 'endpoint-failed', {
+    request: 'id1/m-1.2',
+    code: 'CONNECTION_LOST',
+  }),
 ];
 
 function eventsOf(text: string, requestId = 'id1'): string[] {
-  return tellStory(readLog(text).entries, requestId).map(({ entry }) => entry.event);
+  return traceRequest(parseLog(text).entries, requestId).map(({ entry }) => entry.event);
 }
 
 const EXPECTED = [
@@ -48,39 +51,39 @@
   'request-failed',
 ];
 
-describe('explaining a request', () => {
-  const orders = {
-    'one file after the other': [...CALLER_LOG, ...ENDPOINT_LOG],
-    'the other way round': [...ENDPOINT_LOG, ...CALLER_LOG],
+describe('explain', () => {
+  const lineOrders = {
+    'caller log first': [...CALLER_LOG, ...ENDPOINT_LOG],
+    'endpoint log first': [...ENDPOINT_LOG, ...CALLER_LOG],
     interleaved: CALLER_LOG.flatMap((text, index) => [
       text,
       ...ENDPOINT_LOG.slice(index, index + 1),
     ]),
   };
-  for (const [name, lines] of Object.entries(orders)) {
-    it(`puts the steps in order: ${name}`, () => {
+  for (const [name, lines] of Object.entries(lineOrders)) {
+    it(`sorts the steps: ${name}`, () => {
       expect(eventsOf(lines.join('\n'))).to.deep.equal(EXPECTED);
     });
   }
 
-  it('tells which sign cast doubt on an attempt, how old it was, what followed and what ended the run', () => {
+  it('shows why an attempt was suspected, for how long, the next action and the cause of its end', () => {
     const caller = [
-      line('caller', '05.400', 'attempt-suspected', {
+      logLine('caller', '05.400', 'attempt-suspected', {
         request: 'id2',
         attempt: 1,
         silent: 'connection',
         quietMs: 338,
         next: 'hedge',
       }),
-      line('caller', '05.410', 'attempt-failed', {
+      logLine('caller', '05.410', 'attempt-failed', {
         request: 'id2',
         attempt: 2,
         code: 'UNREACHABLE',
       }),
-      line('caller', '05.900', 'attempt-cancelled', { request: 'id2', attempt: 1 }),
-      line('caller', '05.901', 'request-failed', { request: 'id2', code: 'TIMED_OUT' }),
+      logLine('caller', '05.900', 'attempt-cancelled', { request: 'id2', attempt: 1 }),
+      logLine('caller', '05.901', 'request-failed', { request: 'id2', code: 'TIMED_OUT' }),
     ];
-    const endpoint = line('endpoint', '00.905', 'attempt-abandoned', {
+    const endpoint = logLine('endpoint', '00.905', 'attempt-abandoned', {
       request: 'id2/m-1.1',
       cause: 'cancelled',
     });
@@ -92,35 +95,35 @@
       'attempt-failed',
       'request-failed',
     ]);
-    const story = storyText('id2', tellStory(readLog(text).entries, 'id2'), 0);
-    expect(story).to.include('silent=connection quietMs=338 next=hedge');
-    expect(story).to.include('cause=cancelled');
+    const trace = formatTrace('id2', traceRequest(parseLog(text).entries, 'id2'), 0);
+    expect(trace).to.include('silent=connection quietMs=338 next=hedge');
+    expect(trace).to.include('cause=cancelled');
   });
 
-  it('counts lines that it can not read, and reads on', () => {
-    const cut = (CALLER_LOG[1] ?? '').slice(0, 40);
-    const { entries, skippedLines } = readLog(
-      ['noise', cut, ...ENDPOINT_LOG, '{"a":1}'].join('\n'),
+  it('counts and skips lines that cannot be parsed', () => {
+    const truncatedLine = (CALLER_LOG[1] ?? '').slice(0, 40);
+    const { entries, skippedLines } = parseLog(
+      ['noise', truncatedLine, ...ENDPOINT_LOG, '{"a":1}'].join('\n'),
     );
     expect(skippedLines).to.equal(3);
     expect(entries).to.have.length(2);
   });
 
-  it('reads lines that a collector has put something in front of', () => {
+  it('ignores a prefix added by a log collector', () => {
     const collected = ENDPOINT_LOG.map((text) => `  3.01 endpoint ${text}`).join('\n');
-    expect(readLog(collected).entries).to.have.length(2);
+    expect(parseLog(collected).entries).to.have.length(2);
   });
 
-  it('tells what the node believed at the time', () => {
-    const steps = tellStory(readLog(CALLER_LOG.join('\n')).entries, 'id1');
-    expect(steps[0]?.state).to.deep.include({ configuration: 7, isStoreReached: true });
+  it('includes the state of the node at the time', () => {
+    const steps = traceRequest(parseLog(CALLER_LOG.join('\n')).entries, 'id1');
+    expect(steps[0]?.state).to.deep.include({ configuration: 7, isStoreReachable: true });
     expect(steps[2]?.state).to.deep.include({
-      isStoreReached: false,
-      silentPeers: ['10.0.0.9'],
+      isStoreReachable: false,
+      unresponsivePeers: ['10.0.0.9'],
     });
   });
 
-  it('tells which zones were evacuated, as far as the node knew', () => {
+  it('includes the evacuated zones known to the node', () => {
     const evacuated = (event: string, zone: string): string =>
       (CALLER_LOG[0] ?? '').replace(/"event":"[^"]*"/, `"event":"${event}","zone":"${zone}"`);
     const lines = [
@@ -129,12 +132,12 @@
       evacuated('zone-taken-back', 'z1'),
       ...CALLER_LOG,
     ];
-    const steps = tellStory(readLog(lines.join('\n')).entries, 'id1');
+    const steps = traceRequest(parseLog(lines.join('\n')).entries, 'id1');
     expect(steps[0]?.state.evacuatedZones).to.deep.equal(['z2']);
-    expect(storyText('id1', steps, 0)).to.include('evacuated zones z2');
+    expect(formatTrace('id1', steps, 0)).to.include('evacuated zones z2');
   });
 
-  it('prints the story from files, and says when there is none', async () => {
+  it('prints a trace from files and reports a request without entries', async () => {
     const files = temporaryFiles({
       'a.log': CALLER_LOG.join('\n'),
       'b.log': ENDPOINT_LOG.join('\n'),
@@ -143,10 +146,10 @@
     const paths = [files.path('a.log'), files.path('b.log')];
     const found = await runCommand(commands, ['explain', 'id1', ...paths]);
     const missing = await runCommand(commands, ['explain', 'none', ...paths]);
-    const unread = await runCommand(commands, ['explain', 'id1', files.path('c.log')]);
+    const unreadable = await runCommand(commands, ['explain', 'id1', files.path('c.log')]);
     files.remove();
     expect(found.output).to.include('endpoint attempt-refused').and.include('code=queue-full');
-    expect([found.exitCode, missing.exitCode, unread.exitCode]).to.deep.equal([
+    expect([found.exitCode, missing.exitCode, unreadable.exitCode]).to.deep.equal([
       ExitCode.Success,
       ExitCode.NotFound,
       ExitCode.Usage,
