--- a/src/control/control-plane.ts
+++ b/src/control/control-plane.ts
@@ -1,5 +1,5 @@
 /**
- * The control plane of a node: documents, members and whatever further components run on the same
+ * The control plane of a node: documents, membership and further components that share the same
  * links. Pure decision logic; the runtime and the emulator drive it through `handle`.
  */
 import { Dissemination } from '../dissemination/dissemination.js';
@@ -29,10 +29,9 @@
 import type { FleetView, OldestMachinesView } from './control-ports.js';
 import { isForComponents, isOverlayTraffic } from './message-audience.js';
 
-/** A wake that comes this much late means that the process was paused, in milliseconds. */
+/** Lateness of a wake from which the process is considered to have been paused, in milliseconds. */
 export const LATE_WAKE_MS = 2_000;
 
-/** One node's control plane. */
 export class ControlPlane
   implements ControlComponent, FleetView, OldestMachinesView, NeighbourListener
 {
@@ -42,9 +41,9 @@
   private readonly dissemination: Dissemination;
   private readonly membership: Membership;
   private readonly components: readonly ControlComponent[];
-  /** Peers with an open link, by machine, as the components know them. */
+  /** Peers with an open link, by machine id, as reported to the components. */
   private readonly linkedPeers = new Map<string, PeerIdentity>();
-  /** When the node should next be woken, as last computed. */
+  /** Last computed time of the next wake. */
   private wakeAt = Infinity;
 
   constructor(options: ControlPlaneOptions) {
@@ -62,13 +61,15 @@
     this.documents = this.documentSink();
     const memberOptions = { ...settings, self: identity };
     this.membership = new Membership(memberOptions, this, this.store.machines());
-    this.components = (settings.components ?? []).map((make) => make(this.documents, this));
+    this.components = (settings.components ?? []).map((createComponent) =>
+      createComponent(this.documents, this),
+    );
   }
 
   handle(event: ControlEvent, nowMs: number): ControlEffect[] {
     const effects: ControlEffect[] = [];
     if (nowMs - this.wakeAt >= LATE_WAKE_MS) {
-      this.grantGrace(nowMs);
+      this.restartTimeouts(nowMs);
     }
     this.dispatch(event, nowMs, effects);
     const closed = this.closedPeers(event, effects);
@@ -91,17 +92,16 @@
     return this.store.configuration().snapshot;
   }
 
-  /** The documents that are held. */
   heldDocuments(): Readonly<Record<DocumentName, VersionedDocument>> {
     return this.store.heldDocuments();
   }
 
-  /** Status of a machine; undefined when nothing is known of it. */
+  /** Status of a machine; undefined if the machine is unknown. */
   memberStatus(machineId: string): MemberStatus | undefined {
     return this.membership.status(machineId);
   }
 
-  /** Every machine that is listed or known, with its status; this node is not among them. */
+  /** Every listed or known machine except this one, with its status. */
   members(): MemberUpdate[] {
     const byId = new Map<string, PeerIdentity>();
     for (const machine of this.store.machines().byId.values()) {
@@ -112,12 +112,12 @@
     }
     byId.delete(this.identity.id);
     return [...byId.values()].map((member) => ({
-      member: onlyIdentity(member),
+      member: toIdentity(member),
       status: this.membership.status(member.id) ?? 'alive',
     }));
   }
 
-  /** Where a machine's node takes requests of other nodes; undefined when it is not known. */
+  /** Address at which a machine accepts relayed requests; undefined if unknown. */
   relayAddress(machineId: string): { address: string; relayPort: number } | undefined {
     const machine = this.store.machines().byId.get(machineId);
     const found = machine ?? this.membership.members.identityOf(machineId);
@@ -140,7 +140,7 @@
     return this.store.machines().oldestOf(group, groups);
   }
 
-  /** The summary for the status page and the resource API. */
+  /** Summary for the status page and the resource API. */
   status(): ControlStatus {
     return {
       identity: this.identity,
@@ -150,7 +150,7 @@
       rejectedSource: this.dissemination.rejectedSource(),
       suspended: this.store.configuration().suspended,
       sourceAdoptedAtMs: this.dissemination.documents.adoptedAtMs('source'),
-      sourceEvidence: this.dissemination.documents.sourceEvidence(),
+      sourceReadStatus: this.dissemination.documents.sourceReadStatus(),
       neighbourVersions: this.dissemination.neighbourVersions(),
       machines: this.store.machines().byId.size,
     };
@@ -168,10 +168,10 @@
     return this.dissemination.heartbeatMessage();
   }
 
-  /** The process was paused: what others did not do in that time is not held against them. */
-  protected grantGrace(nowMs: number): void {
-    this.membership.grantGrace(nowMs);
-    this.dissemination.grantGrace(nowMs);
+  /** Restarts all timeouts after a pause of this process, during which no messages were handled. */
+  protected restartTimeouts(nowMs: number): void {
+    this.membership.restartTimeouts(nowMs);
+    this.dissemination.restartTimeouts(nowMs);
   }
 
   private dispatch(event: ControlEvent, nowMs: number, effects: ControlEffect[]): void {
@@ -215,26 +215,26 @@
     nowMs: number,
     effects: ControlEffect[],
   ): void {
-    this.membership.links.heard(from, isOverlayTraffic(message), nowMs);
+    this.membership.links.messageReceived(from, isOverlayTraffic(message), nowMs);
     if (message.type === 'heartbeat') {
       this.membership.handleHeartbeat(from, message, nowMs, effects);
     } else if (message.type === 'members') {
       this.membership.handleMembers(from, message.updates, nowMs, effects);
       return;
     }
-    const machinesBefore = this.store.machines();
+    const previousMachines = this.store.machines();
     this.dissemination.handleMessage(from, message, nowMs, effects);
-    this.followMachines(machinesBefore, nowMs);
+    this.applyMachineList(previousMachines, nowMs);
   }
 
-  private followMachines(before: unknown, nowMs: number): void {
+  private applyMachineList(before: unknown, nowMs: number): void {
     const machines = this.store.machines();
     if (machines !== before) {
       this.membership.setMachines(machines, nowMs);
     }
   }
 
-  /** Peers whose links the membership closes now: no `peer-down` event follows from outside. */
+  /** Peers whose links are closed by `effects`: no `peer-down` event from the runtime follows. */
   private closedPeers(event: ControlEvent, effects: readonly ControlEffect[]): PeerIdentity[] {
     if (event.type === 'peer-up') {
       this.linkedPeers.set(event.peer.id, event.peer);
@@ -263,13 +263,13 @@
     }
   }
 
-  /** A component may not close a link that the overlay uses; links that it uses are kept. */
+  /** Drops a `hang-up` of an overlay link; a `send` restarts the idle timeout of its link. */
   private addComponentEffect(effect: ControlEffect, nowMs: number, effects: ControlEffect[]): void {
     if (effect.type === 'hang-up' && this.membership.links.isOverlayPeer(effect.peerId)) {
       return;
     }
     if (effect.type === 'send') {
-      this.membership.links.used(effect.to, nowMs);
+      this.membership.links.markUsed(effect.to, nowMs);
     }
     effects.push(effect);
   }
@@ -282,14 +282,14 @@
     return earliest;
   }
 
-  /** The dissemination's sinks, with the machine list followed by the membership. */
+  /** Document sinks that also apply a new machine list to the membership. */
   private documentSink(): DocumentSink {
     const { documents } = this.dissemination;
     return {
       offer: (document, answer, nowMs) => {
-        const machinesBefore = this.store.machines();
+        const previousMachines = this.store.machines();
         const effects = documents.offer(document, answer, nowMs);
-        this.followMachines(machinesBefore, nowMs);
+        this.applyMachineList(previousMachines, nowMs);
         this.wakeAt = this.earliestWake();
         return effects;
       },
@@ -304,7 +304,7 @@
   }
 }
 
-function onlyIdentity(peer: PeerIdentity): PeerIdentity {
+function toIdentity(peer: PeerIdentity): PeerIdentity {
   const { id, incarnation, address, controlPort, relayPort, zone, region } = peer;
   return { id, incarnation, address, controlPort, relayPort, zone, region };
 }
--- a/src/membership/overlay.ts
+++ b/src/membership/overlay.ts
@@ -1,15 +1,15 @@
 /**
- * Keeps a bounded number of overlay links: dials a few targets spread over zones and regions, accepts
- * a bounded number, replaces those that are gone and now and then exchanges one.
+ * Maintains a bounded number of overlay links: dials a few peers spread over zones and regions,
+ * accepts a bounded number of inbound links, replaces closed links and periodically exchanges one.
  */
 import type { ControlEffect, CounterSink, RandomSource } from '../control/control-event.js';
 import { CONTROL_COUNTERS } from '../control/control-counters.js';
 import {
   DialCandidates,
-  LINK_PLACES,
+  LINK_SCOPES,
   addressKey,
   type DialCandidate,
-  type LinkPlace,
+  type LinkScope,
 } from './dial-candidates.js';
 import { DialSchedule } from './dial-schedule.js';
 import {
@@ -27,29 +27,29 @@
 
 /** Time after which an unanswered dial counts as failed, in milliseconds. */
 export const DIAL_TIMEOUT_MS = 5_000;
-/** Longest wait before the first dials of a process, in milliseconds. */
-export const START_SPREAD_MS = 300;
-/** Mean time between two exchanges of a neighbour, in milliseconds. */
+/** Maximum random delay before the first dials of a process, in milliseconds. */
+export const MAX_START_DELAY_MS = 300;
+/** Mean interval between exchanges of a neighbour, in milliseconds. */
 export const RESHUFFLE_INTERVAL_MS = 600_000;
-/** Failures in a row after which a place's links are sought elsewhere, too. */
+/** Consecutive failures in a scope after which its links are also sought in another scope. */
 const FAILURES_BEFORE_FALLBACK = 3;
 
-/** Numbers of the overlay. */
+/** Options of the overlay. */
 export interface OverlayOptions {
   readonly self: PeerIdentity;
   readonly seeds: readonly PeerAddress[];
-  /** Links to dial. */
+  /** Number of links to dial. */
   readonly neighbours: number;
-  /** Links to accept at most. */
+  /** Maximum number of inbound links. */
   readonly maxInbound: number;
   readonly random: RandomSource;
   readonly counters: CounterSink;
 }
 
-/** What a dial is for. */
+/** Purpose of a dial. */
 export interface DialPurpose {
-  readonly place: LinkPlace;
-  /** Neighbour that is given up once the dialled one confirms. */
+  readonly scope: LinkScope;
+  /** Neighbour whose link is closed once the dialled peer confirms. */
   readonly replaces: string | undefined;
 }
 
@@ -57,12 +57,12 @@
   readonly deadline: number;
 }
 
-/** Decides on overlay links; `links` is shared with the membership that owns it. */
+/** Decides which overlay links to dial and accept. `links` is owned by {@link NeighbourLinks}. */
 export class Overlay {
   private readonly candidates: DialCandidates;
-  private readonly schedules: Record<LinkPlace, DialSchedule>;
+  private readonly schedules: Record<LinkScope, DialSchedule>;
   private readonly pending = new Map<string, PendingDial>();
-  private wanted: LinkCounts;
+  private desired: LinkCounts;
   private maintainAt = Infinity;
   private reshuffleAt = Infinity;
   private isStopping = false;
@@ -81,28 +81,28 @@
       remote: new DialSchedule(random),
       contact: new DialSchedule(random),
     };
-    this.wanted = quotasFor(self, options.neighbours, machines);
+    this.desired = quotasFor(self, options.neighbours, machines);
   }
 
-  /** The process started: dial soon, but not all processes at the same moment. */
+  /** Schedules the first dials after a random delay, so that processes do not all dial at once. */
   start(nowMs: number): void {
-    this.maintainAt = nowMs + this.options.random() * START_SPREAD_MS;
-    this.planReshuffle(nowMs);
+    this.maintainAt = nowMs + this.options.random() * MAX_START_DELAY_MS;
+    this.scheduleReshuffle(nowMs);
   }
 
-  /** A planned stop: no more dials. */
+  /** Stops dialling, for a planned stop. */
   stop(): void {
     this.isStopping = true;
     this.maintainAt = Infinity;
     this.reshuffleAt = Infinity;
   }
 
-  /** Time at which {@link wake} has something to do, in milliseconds. */
+  /** Time at which {@link wake} must be called next, in milliseconds. */
   nextWakeAt(): number {
     return Math.min(this.maintainAt, this.reshuffleAt);
   }
 
-  /** Acts on what is due. */
+  /** Handles all timers that are due. */
   wake(nowMs: number, effects: ControlEffect[]): void {
     if (nowMs >= this.reshuffleAt) {
       this.reshuffle(nowMs, effects);
@@ -112,33 +112,34 @@
     }
   }
 
-  /** A newer machine list came into force: links are counted by the places it names. */
+  /** Replaces the machine list and recomputes quotas and link scopes from it. */
   setMachines(machines: MachineIndex, nowMs: number): void {
     const { self, neighbours } = this.options;
     this.machines = machines;
-    this.wanted = quotasFor(self, neighbours, machines);
-    if (this.wanted.contact === 0) {
+    this.desired = quotasFor(self, neighbours, machines);
+    if (this.desired.contact === 0) {
       for (const link of this.links.values()) {
-        link.place = distanceBetween(self, link.peer);
+        link.scope = distanceBetween(self, link.peer);
       }
     }
     this.requestMaintenance(nowMs);
   }
 
-  /** A neighbour beyond those wanted, to be given up; undefined when there is none. */
+  /** A link in excess of the quotas, to be closed; undefined if there is none. */
   surplusLink(): PeerLink | undefined {
-    return surplusLink(this.wanted, this.options.neighbours, this.links.values());
+    return surplusLink(this.desired, this.options.neighbours, this.links.values());
   }
 
-  /** A link opened: what it was dialled for, or undefined when the overlay did not dial it. */
-  claimLink(peer: PeerIdentity): DialPurpose | undefined {
+  /**
+   * Returns the purpose of the dial that opened a link; undefined if the overlay did not dial it.
+   */
+  completeDial(peer: PeerIdentity): DialPurpose | undefined {
     const key = addressKey(peer);
     const dial = this.pending.get(key);
     this.pending.delete(key);
     return dial;
   }
 
-  /** Whether one more inbound link may be accepted. */
   acceptsInbound(): boolean {
     let inbound = 0;
     for (const link of this.links.values()) {
@@ -147,32 +148,32 @@
     return inbound < this.options.maxInbound;
   }
 
-  /** The peer of an outbound link confirmed it. */
-  confirmed(link: PeerLink): void {
-    this.schedules[link.place].succeeded();
+  /** Resets the back-off of the scope of an outbound link that the peer confirmed. */
+  linkConfirmed(link: PeerLink): void {
+    this.schedules[link.scope].succeeded();
   }
 
-  /** A link closed; one that was never confirmed was refused. */
+  /** Handles a closed link. An outbound link that was never confirmed counts as refused. */
   lost(link: PeerLink, nowMs: number): void {
     if (link.role === 'outbound' && !link.isConfirmed) {
-      this.schedules[link.place].failed(nowMs);
+      this.schedules[link.scope].failed(nowMs);
     }
     this.requestMaintenance(nowMs);
   }
 
-  /** A dial failed; dials of others are left alone. */
+  /** Handles a failed dial; ignores dials that the overlay did not start. */
   dialFailed(target: PeerAddress, nowMs: number): void {
     const key = addressKey(target);
     const dial = this.pending.get(key);
     if (dial !== undefined) {
       this.pending.delete(key);
-      this.noteFailure(dial, nowMs);
+      this.recordFailure(dial, nowMs);
     }
   }
 
-  /** Members were named by a peer that is no neighbour: it was full. */
-  hinted(nowMs: number): void {
-    this.schedules.contact.hinted(nowMs);
+  /** Shortens the back-off when a peer that had no capacity left suggested other members. */
+  expediteContactDial(nowMs: number): void {
+    this.schedules.contact.expedite(nowMs);
     this.requestMaintenance(nowMs);
   }
 
@@ -182,37 +183,37 @@
     }
   }
 
-  private noteFailure(dial: PendingDial, nowMs: number): void {
+  private recordFailure(dial: PendingDial, nowMs: number): void {
     this.options.counters.add(CONTROL_COUNTERS.dialFailures);
     if (dial.replaces === undefined) {
-      this.schedules[dial.place].failed(nowMs);
+      this.schedules[dial.scope].failed(nowMs);
     }
     this.requestMaintenance(nowMs);
   }
 
-  /** Dials for every place that has too few links, and plans the next look. */
+  /** Dials for every scope that has too few links, and schedules the next check. */
   private maintain(nowMs: number, effects: ControlEffect[]): void {
     this.expireDials(nowMs);
     const missing = withFallback(
-      missingLinks(this.wanted, this.links.values(), this.pendingCounts()),
-      this.wanted,
-      (place) => this.schedules[place].failures >= FAILURES_BEFORE_FALLBACK,
+      missingLinks(this.desired, this.links.values(), this.pendingCounts()),
+      this.desired,
+      (scope) => this.schedules[scope].failures >= FAILURES_BEFORE_FALLBACK,
     );
     this.maintainAt = this.earliestDialDeadline();
-    for (const place of LINK_PLACES) {
-      this.dialFor(place, missing[place], nowMs, effects);
+    for (const scope of LINK_SCOPES) {
+      this.dialFor(scope, missing[scope], nowMs, effects);
     }
   }
 
   private dialFor(
-    place: LinkPlace,
+    scope: LinkScope,
     missing: number,
     nowMs: number,
     effects: ControlEffect[],
   ): void {
-    const schedule = this.schedules[place];
+    const schedule = this.schedules[scope];
     for (let count = 0; count < missing && nowMs >= schedule.nextDialAt; count += 1) {
-      if (!this.dialOne({ place, replaces: undefined }, nowMs, effects)) {
+      if (!this.dialOne({ scope, replaces: undefined }, nowMs, effects)) {
         schedule.failed(nowMs);
       } else if (schedule.failures > 0) {
         break;
@@ -224,8 +225,8 @@
   }
 
   private dialOne(purpose: DialPurpose, nowMs: number, effects: ControlEffect[]): boolean {
-    const isFree = (candidate: DialCandidate): boolean => this.isFree(candidate);
-    const target = this.candidates.pick(purpose.place, this.machines, isFree);
+    const isAvailable = (candidate: DialCandidate): boolean => this.isAvailable(candidate);
+    const target = this.candidates.pick(purpose.scope, this.machines, isAvailable);
     if (target === undefined) {
       return false;
     }
@@ -238,8 +239,8 @@
     return true;
   }
 
-  /** Neither linked nor being dialled. */
-  private isFree(candidate: DialCandidate): boolean {
+  /** Whether the candidate is neither linked nor being dialled. */
+  private isAvailable(candidate: DialCandidate): boolean {
     const key = addressKey(candidate);
     if (this.pending.has(key)) {
       return false;
@@ -256,7 +257,7 @@
     for (const [key, dial] of this.pending) {
       if (nowMs >= dial.deadline) {
         this.pending.delete(key);
-        this.noteFailure(dial, nowMs);
+        this.recordFailure(dial, nowMs);
       }
     }
   }
@@ -272,24 +273,24 @@
   private pendingCounts(): LinkCounts {
     const counts = noLinks();
     for (const dial of this.pending.values()) {
-      counts[dial.place] += dial.replaces === undefined ? 1 : 0;
+      counts[dial.scope] += dial.replaces === undefined ? 1 : 0;
     }
     return counts;
   }
 
-  private planReshuffle(nowMs: number): void {
+  private scheduleReshuffle(nowMs: number): void {
     this.reshuffleAt = nowMs + RESHUFFLE_INTERVAL_MS * (0.5 + this.options.random());
   }
 
-  /** Dials a substitute for one confirmed outbound neighbour; the old one goes when it is there. */
+  /** Dials a replacement for one confirmed outbound neighbour, which is kept until then. */
   private reshuffle(nowMs: number, effects: ControlEffect[]): void {
-    this.planReshuffle(nowMs);
+    this.scheduleReshuffle(nowMs);
     const outbound = [...this.links.values()].filter(
       (link) => link.role === 'outbound' && link.isConfirmed,
     );
-    const old = outbound[Math.floor(this.options.random() * outbound.length)];
-    if (old !== undefined) {
-      this.dialOne({ place: old.place, replaces: old.peer.id }, nowMs, effects);
+    const replaced = outbound[Math.floor(this.options.random() * outbound.length)];
+    if (replaced !== undefined) {
+      this.dialOne({ scope: replaced.scope, replaces: replaced.peer.id }, nowMs, effects);
     }
   }
 }
--- a/test/source/reader-fuzz.test.ts
+++ b/test/source/reader-fuzz.test.ts
@@ -8,7 +8,7 @@
 const MUTANT_RUNS = 1_500;
 const MAX_MACHINES = 16;
 
-/** What a step does to the world; `a` and `b` are machines, or a time and a choice. */
+/** Effect of each action on the world; `a` and `b` select machines, durations or options. */
 const ACTIONS = {
   advance: (world, a) => world.advance(a % 8_000),
   kill: (world, a) => world.kill(a % world.processes.length),
@@ -16,25 +16,25 @@
   pause: (world, a) => world.pause(a % world.processes.length),
   resume: (world, a) => world.resume(a % world.processes.length),
   stop: (world, a) => world.stop(a % world.processes.length),
-  learn: (world, a) => world.learnList(a % world.processes.length),
-  unlink: (world, a) => world.closeLinks(a % world.processes.length),
+  learnList: (world, a) => world.learnList(a % world.processes.length),
+  closeLinks: (world, a) => world.closeLinks(a % world.processes.length),
   cut: (world, a, b) => world.cut(a % world.processes.length, b % world.processes.length),
   split: (world) => split(world),
   heal: (world) => world.heal(),
-  clocks: (world, a) => world.setClocksForward(a % 20_000),
-  herd: (world) => world.processes.forEach((_, one) => one % 2 === 0 && world.restart(one)),
+  setClocksForward: (world, a) => world.setClocksForward(a % 20_000),
+  restartEven: (world) => world.processes.forEach((_, one) => one % 2 === 0 && world.restart(one)),
   pauseHolder: (world) => world.pause(holderIndex(world)),
-  nap: (world, a) => nap(world, a % 12_000),
-  succession: (world) => succeed(world),
+  pauseHolderFor: (world, a) => pauseHolderFor(world, a % 12_000),
+  replaceElectors: (world) => replaceElectors(world),
   publish: (world, a) => world.processes.length < MAX_MACHINES && world.publish(a % 2 === 0),
-  weather: (world, a, b) => {
+  changeConditions: (world, a, b) => {
     world.platformUp = b % 2 === 0;
     world.latencyMs = LATENCIES_MS[a % LATENCIES_MS.length] ?? 20;
   },
 } satisfies Record<string, (world: ReaderWorld, a: number, b: number) => unknown>;
 type ActionName = keyof typeof ACTIONS;
 
-/** How often each action comes. */
+/** Relative frequency of each action. */
 const WEIGHTS: Readonly<Record<ActionName, number>> = {
   advance: 8,
   kill: 1,
@@ -42,18 +42,18 @@
   pause: 1,
   resume: 1,
   stop: 1,
-  learn: 1,
-  unlink: 1,
+  learnList: 1,
+  closeLinks: 1,
   cut: 3,
   split: 0.25,
   heal: 0.25,
-  clocks: 0.5,
-  herd: 0.25,
+  setClocksForward: 0.5,
+  restartEven: 0.25,
   pauseHolder: 1,
-  nap: 4,
-  succession: 0.25,
+  pauseHolderFor: 4,
+  replaceElectors: 0.25,
   publish: 2,
-  weather: 2,
+  changeConditions: 2,
 };
 const LATENCIES_MS = [20, 20, 300, 900, 2_500];
 
@@ -74,16 +74,16 @@
   );
 }
 
-/** Pauses a holder for a while. */
-function nap(world: ReaderWorld, ms: number): void {
+/** Pauses a holder for `ms`. */
+function pauseHolderFor(world: ReaderWorld, ms: number): void {
   const holder = holderIndex(world);
   world.pause(holder);
   world.advance(ms);
   world.resume(holder);
 }
 
-/** Three electors die, and the list that says so reaches the others at once. */
-function succeed(world: ReaderWorld): void {
+/** Kills up to three electors, and sends the list without them to all machines at once. */
+function replaceElectors(world: ReaderWorld): void {
   const holder = holderIndex(world);
   const isElector = new Set(
     world
@@ -99,7 +99,7 @@
   world.processes.forEach((_, one) => world.learnList(one));
 }
 
-/** Cuts machines of even rank from those of odd rank, both ways. */
+/** Partitions the network in both directions between machines with even and odd indexes. */
 function split(world: ReaderWorld): void {
   world.processes.forEach((_left, one) =>
     world.processes.forEach((_right, two) => {
@@ -120,27 +120,31 @@
 
 type Script = typeof script extends fc.Arbitrary<infer T> ? T : never;
 
-function totals(): { steps: number; reads: number } {
+function emptyTotals(): { steps: number; reads: number } {
   return { steps: 0, reads: 0 };
 }
 
-function fuzz(runs: number, endOnFailure: boolean, seen = totals()): fc.RunDetails<[Script]> {
+function fuzz(
+  runs: number,
+  endOnFailure: boolean,
+  totals = emptyTotals(),
+): fc.RunDetails<[Script]> {
   const property = fc.property(script, ({ seed, machines, share, isListed, steps }) => {
     const readerShares = { a: share };
     const world = new ReaderWorld({ seed, machines, readerShares, seeds: 3, isListed });
     world.advance(20_000);
     steps.forEach(({ name, a, b }) => ACTIONS[name](world, a, b));
     world.advance(10_000);
-    seen.steps += steps.length;
-    seen.reads += world.processes.reduce((sum, process) => sum + process.reads, 0);
+    totals.steps += steps.length;
+    totals.reads += world.processes.reduce((sum, process) => sum + process.reads, 0);
   });
   return fc.check(property, { seed: SEED, numRuns: runs, endOnFailure });
 }
 
 describe('source reader under faults', () => {
-  it('never has two holders of a slot, nor reads outside a lease', function () {
+  it('never has two holders of a slot and never reads without a lease', function () {
     this.timeout(120_000);
-    const seen = totals();
+    const seen = emptyTotals();
     const result = fuzz(RUNS, false, seen);
     expect(result.failed, fc.defaultReportMessage(result) ?? '').to.equal(false);
     expect(seen.steps).to.be.greaterThan(RUNS * 20);
