--- a/src/explain/trace-text.ts
+++ b/src/explain/trace-text.ts
@@ -40,7 +40,7 @@
 }: NodeState): string {
   const parts = [
     `configuration ${configuration ?? 'none'}`,
-    `store ${isStoreReachable ? 'reachable' : 'unreachable'}`,
+    `store ${isStoreReachable ? 'reached' : 'lost'}`,
     ...(evacuatedZones.length > 0 ? [`evacuated zones ${evacuatedZones.join(', ')}`] : []),
     ...(unresponsivePeers.length > 0 ? [`unresponsive peers ${unresponsivePeers.join(', ')}`] : []),
     ...(isStopping ? ['shutting down'] : []),
