--- a/src/api/access-check.ts
+++ b/src/api/access-check.ts
@@ -1,15 +1,15 @@
-/** Who may use the resource API: bearer tokens, compared in constant time. */
+/** Access control of the resource API: bearer tokens, compared in constant time. */
 import { createHash, timingSafeEqual } from 'node:crypto';
 import { ApiError } from './api-error.js';
 
 const BEARER_PATTERN = /^bearer +([\x21-\x7e]+)$/i;
 
-/** Throws {@link ApiError} when the holder of `authorization` may not go on. */
+/** Throws {@link ApiError} if `authorization` does not permit the request. */
 export type AccessCheck = (authorization: string | undefined, writes: boolean) => void;
 
 /**
- * With a token, every request must present it. Without one, everybody may read and nobody may
- * write.
+ * If an admin token is set, every request must present it. Without one, all reads are allowed and all
+ * writes are refused.
  */
 export function createAccessCheck(adminToken: string | undefined): AccessCheck {
   if (adminToken === undefined) {
@@ -21,7 +21,7 @@
     if (presented === undefined) {
       throw new ApiError('TOKEN_REQUIRED', 'expected Authorization: Bearer TOKEN');
     }
-    // Digests have equal lengths, so that the comparison tells nothing of the token's length.
+    // Digests have equal lengths, so that the comparison does not reveal the token's length.
     if (!timingSafeEqual(digest(presented), expected)) {
       throw new ApiError('TOKEN_REFUSED', 'the token is not valid');
     }
@@ -30,7 +30,7 @@
 
 function refuseWrites(_authorization: string | undefined, writes: boolean): void {
   if (writes) {
-    throw new ApiError('WRITES_DISABLED', 'this node has no adminToken and takes no writes');
+    throw new ApiError('WRITES_DISABLED', 'this node has no adminToken and accepts no writes');
   }
 }
 
--- a/src/api/admin-handler.ts
+++ b/src/api/admin-handler.ts
@@ -1,4 +1,4 @@
-/** Answers requests to the resource API: finds out what is asked, checks access, acts. */
+/** Handles requests to the resource API: checks access, parses the request and executes it. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { SuspicionView } from '../containment/suspicion.js';
 import type { CounterSink } from '../control/control-event.js';
@@ -16,13 +16,12 @@
 import type { WatchRegistry } from './watch-registry.js';
 import type { WriteRequest } from './write-port.js';
 
-/** Gives metrics in text form. */
+/** Provides metrics in text format. */
 export interface MetricsSource {
   readonly contentType: string;
   text(): Promise<string>;
 }
 
-/** What the handler acts on. */
 export interface AdminHandlerOptions {
   readonly feed: ConfigurationFeed;
   readonly watches: WatchRegistry;
@@ -32,35 +31,35 @@
   readonly metrics: MetricsSource;
   readonly counters: CounterSink;
   readonly checkAccess: AccessCheck;
-  /** Body of one write, in bytes. */
+  /** Maximum size of a write's body, in bytes. */
   readonly maxBodyBytes: number;
-  /** Told of a failure of the program itself. */
+  /** Called with unexpected errors. */
   readonly onInternalError: (error: unknown) => void;
 }
 
-type WriteOrder = Extract<ApiRequest, { type: 'write' }>;
+type ParsedWriteRequest = Extract<ApiRequest, { type: 'write' }>;
 
-/** Handles one request after another; holds no state of its own. */
+/** Request handler; holds no state between requests. */
 export class AdminHandler {
   constructor(private readonly options: AdminHandlerOptions) {}
 
-  /** Answers `request`; never rejects. */
+  /** Handles `request`; never rejects. */
   async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
     this.options.counters.add(API_COUNTERS.requests);
     try {
-      await this.answer(request, response);
+      await this.dispatch(request, response);
     } catch (error) {
-      this.fail(request, response, error);
+      this.sendFailure(request, response, error);
     }
   }
 
-  private async answer(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  private async dispatch(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const { method = '', url = '', headers } = request;
     if (url !== '/healthz') {
       this.options.checkAccess(headers.authorization, isWriteMethod(method));
     }
-    const order = parseApiRequest({ method, url, headers });
-    switch (order.type) {
+    const parsed = parseApiRequest({ method, url, headers });
+    switch (parsed.type) {
       case 'health':
         sendJson(response, 200, { status: 'ok' });
         return;
@@ -74,19 +73,19 @@
         sendJson(response, 200, { items: this.options.suspicions.report() });
         return;
       case 'release':
-        this.release(response, order.fingerprint);
+        this.release(response, parsed.fingerprint);
         return;
       case 'list':
-        await sendList(response, this.options.feed.cursor, this.options.feed.list(order.kind));
+        await sendList(response, this.options.feed.cursor, this.options.feed.list(parsed.kind));
         return;
       case 'watch':
-        this.options.watches.start(order.kind, order.from, response);
+        this.options.watches.start(parsed.kind, parsed.from, response);
         return;
       case 'get':
-        this.sendResource(response, order);
+        this.sendResource(response, parsed);
         return;
       case 'write':
-        await this.write(request, response, order);
+        await this.write(request, response, parsed);
     }
   }
 
@@ -98,7 +97,7 @@
 
   private release(response: ServerResponse, fingerprint: string): void {
     if (!this.options.suspicions.release(fingerprint)) {
-      throw new ApiError('NOT_FOUND', `nothing stands against a request ${fingerprint}`);
+      throw new ApiError('NOT_FOUND', `no suspicion recorded for request ${fingerprint}`);
     }
     sendJson(response, 200, { released: fingerprint }, { [VERDICT_HEADER]: 'ran' });
   }
@@ -118,15 +117,18 @@
   private async write(
     request: IncomingMessage,
     response: ServerResponse,
-    order: WriteOrder,
+    parsed: ParsedWriteRequest,
   ): Promise<void> {
-    const accepted = await this.options.writer.write(await this.readWrite(request, order));
+    const accepted = await this.options.writer.write(await this.readWrite(request, parsed));
     this.options.counters.add(API_COUNTERS.writesAccepted);
     sendJson(response, 200, accepted, { [VERDICT_HEADER]: 'ran' });
   }
 
-  private async readWrite(request: IncomingMessage, order: WriteOrder): Promise<WriteRequest> {
-    const { kind, name, deletes, precondition } = order;
+  private async readWrite(
+    request: IncomingMessage,
+    parsed: ParsedWriteRequest,
+  ): Promise<WriteRequest> {
+    const { kind, name, deletes, precondition } = parsed;
     if (deletes) {
       return { key: `${kind}/${name}`, resource: undefined, precondition };
     }
@@ -135,31 +137,32 @@
     return { key: `${kind}/${name}`, resource, precondition };
   }
 
-  private fail(request: IncomingMessage, response: ServerResponse, error: unknown): void {
+  private sendFailure(request: IncomingMessage, response: ServerResponse, error: unknown): void {
     if (response.headersSent || response.destroyed) {
-      // The client left, or part of the answer is out: only cutting it tells that it is not whole.
+      // The client has disconnected, or part of the answer has been sent: closing the connection is the
+      // only way to show that the answer is incomplete.
       response.destroy();
       return;
     }
     const apiError = error instanceof ApiError ? error : this.internalError(error);
     const isWrite = isWriteMethod(request.method ?? '');
-    const known = isWrite ? apiError.withVerdict(verdictOf(error)) : apiError;
-    this.options.counters.add(errorCounter(known.code));
+    const reportedError = isWrite ? apiError.withVerdict(verdictOf(error)) : apiError;
+    this.options.counters.add(errorCounter(reportedError.code));
     if (!request.complete) {
       response.shouldKeepAlive = false;
     }
-    sendError(response, known);
+    sendError(response, reportedError);
   }
 
   private internalError(error: unknown): ApiError {
     this.options.onInternalError(error);
-    return new ApiError('INTERNAL_ERROR', 'the request failed inside the node');
+    return new ApiError('INTERNAL_ERROR', 'the request failed with an internal error');
   }
 }
 
 /**
- * Verdict of a failed write whose error carries none: errors of this API then come from before the
- * write port was asked; anything else may come from after it.
+ * Verdict of a failed write whose error carries none. An {@link ApiError} without a verdict is thrown
+ * before the write is submitted; any other error may be thrown after that.
  */
 function verdictOf(error: unknown): Verdict {
   return error instanceof ApiError ? 'not-run' : 'may-have-run';
--- a/src/api/admin-server.ts
+++ b/src/api/admin-server.ts
@@ -17,7 +17,7 @@
 import {
   LISTENER_TIMEOUTS,
   MAX_HEADER_BYTES,
-  MAX_PLAIN_CONNECTIONS,
+  MAX_NON_WATCH_CONNECTIONS,
   type ListenerTimeouts,
 } from './listener-limits.js';
 import type { StatusProvider } from './node-status.js';
@@ -26,7 +26,6 @@
 import { WatchRegistry } from './watch-registry.js';
 import type { WritePort } from './write-port.js';
 
-/** What the listener is built over. */
 export interface AdminServerOptions {
   readonly settings: Settings;
   readonly view: ConfigurationView;
@@ -35,11 +34,11 @@
   readonly writePort: WritePort;
   readonly metrics: Metrics;
   readonly logger: Logger;
-  /** {@link LISTENER_TIMEOUTS} where absent. */
+  /** Overrides of {@link LISTENER_TIMEOUTS}. */
   readonly timeouts?: Partial<ListenerTimeouts>;
 }
 
-/** A listener that is open. */
+/** An open admin listener. */
 export class AdminServer {
   private constructor(
     private readonly server: Server,
@@ -47,7 +46,7 @@
     private readonly watches: WatchRegistry,
   ) {}
 
-  /** Opens the listener on `adminAddress` and `ports.admin`; rejects when that fails. */
+  /** Opens the listener on `adminAddress` and `ports.admin`; rejects if that fails. */
   static async open(options: AdminServerOptions): Promise<AdminServer> {
     const { settings, metrics } = options;
     const { api } = settings;
@@ -70,7 +69,7 @@
     return (this.server.address() as AddressInfo).port;
   }
 
-  /** Takes no new requests, ends watches with a reason, lets answers in progress finish. */
+  /** Accepts no new requests, ends watches with a reason and lets answers in progress complete. */
   async stop(): Promise<void> {
     const closed = new Promise<void>((resolve) => this.server.close(() => resolve()));
     this.watches.stop();
@@ -79,7 +78,7 @@
     this.feed.close();
   }
 
-  /** Cuts every connection. */
+  /** Closes every connection immediately. */
   abort(): void {
     this.feed.close();
     this.server.close();
@@ -123,8 +122,8 @@
     keepAlive: true,
     keepAliveInitialDelay: timeouts.tcpKeepAliveMs,
   });
-  server.maxConnections = settings.api.maxWatchers + MAX_PLAIN_CONNECTIONS;
-  server.setTimeout(timeouts.silenceMs);
+  server.maxConnections = settings.api.maxWatchers + MAX_NON_WATCH_CONNECTIONS;
+  server.setTimeout(timeouts.inactivityMs);
   server.on('request', (request, response) => {
     response.on('close', () => closeIdleWhenStopping(server));
     void handler.handle(request, response);
@@ -133,7 +132,10 @@
     sendError(response, new ApiError('EXPECTATION_FAILED', 'expected no Expect header')),
   );
   server.on('connect', (_request, socket) =>
-    sendErrorOnSocket(socket, new ApiError('METHOD_NOT_ALLOWED', 'expected no CONNECT')),
+    sendErrorOnSocket(
+      socket,
+      new ApiError('METHOD_NOT_ALLOWED', 'the CONNECT method is not supported'),
+    ),
   );
   server.on('clientError', (error: NodeJS.ErrnoException, socket) => {
     metrics.add(API_COUNTERS.malformedRequests);
@@ -145,7 +147,7 @@
   return server;
 }
 
-/** A kept-alive connection whose last answer went out after the stop began is idle from then on. */
+/** Closes keep-alive connections that become idle after the listener has stopped accepting. */
 function closeIdleWhenStopping(server: Server): void {
   if (!server.listening) {
     setImmediate(() => server.closeIdleConnections());
--- a/src/api/api-counters.ts
+++ b/src/api/api-counters.ts
@@ -28,12 +28,12 @@
   watchesStopped: 'Watches ended because the node stopped',
 };
 
-/** Name of the counter of error answers with `code`. */
+/** Name of the counter of error responses with `code`. */
 export function errorCounter(code: ApiErrorCode): string {
   return `ferryspool_api_errors_${code.toLowerCase()}_total`;
 }
 
-/** Tells `declare` of every counter, so that each can be shown before its first event. */
+/** Calls `declare` for every counter, so that each is exported before its first event. */
 export function declareApiCounters(declare: (name: string, help: string) => void): void {
   for (const [key, help] of Object.entries(COUNTER_HELP)) {
     declare(API_COUNTERS[key as keyof typeof API_COUNTERS], help);
--- a/src/api/api-error.ts
+++ b/src/api/api-error.ts
@@ -1,8 +1,8 @@
-/** Errors that the resource API answers with. */
+/** Error responses of the resource API. */
 import type { ConfigurationFault } from '../model/configuration-error.js';
 import type { Verdict } from '../model/verdict.js';
 
-/** Codes of the API's errors with their HTTP status; clients tell errors apart by code. */
+/** Error codes with their HTTP status; clients distinguish errors by code. */
 export const API_ERROR_STATUS = {
   MALFORMED_REQUEST: 400,
   TOKEN_REQUIRED: 401,
@@ -27,23 +27,22 @@
   MAY_BE_ACCEPTED: 504,
 } as const;
 
-/** Code of an API error. */
 export type ApiErrorCode = keyof typeof API_ERROR_STATUS;
 
-/** What may go with an error, beside code and message. */
+/** Optional details of an error. */
 export interface ApiErrorDetails {
-  /** Whether the write may have been accepted; on every failed write. */
+  /** Whether the write may have been accepted; present on every failed write. */
   readonly verdict?: Verdict;
   readonly faults?: readonly ConfigurationFault[];
-  /** Version of the resource as it is; absent when there is none. */
+  /** Current version of the resource; absent if there is no such resource. */
   readonly currentVersion?: string;
-  /** Time after which the request may be sent again. */
+  /** Time after which the request may be retried. */
   readonly retryAfterMs?: number;
-  /** Methods that the path knows. */
+  /** Methods that the path supports. */
   readonly allowedMethods?: readonly string[];
 }
 
-/** The JSON body of an error answer. */
+/** The JSON body of an error response. */
 export interface ApiErrorBody extends Pick<
   ApiErrorDetails,
   'verdict' | 'faults' | 'currentVersion'
@@ -52,7 +51,7 @@
   readonly message: string;
 }
 
-/** A request that is refused or failed. The message contains no secret. */
+/** A refused or failed request. The message contains no secret. */
 export class ApiError extends Error {
   override readonly name = 'ApiError';
 
@@ -64,12 +63,12 @@
     super(message);
   }
 
-  /** The HTTP status of the answer. */
+  /** The HTTP status of the response. */
   get status(): number {
     return API_ERROR_STATUS[this.code];
   }
 
-  /** The body of the answer. */
+  /** The body of the response. */
   toBody(): ApiErrorBody {
     const { verdict, faults, currentVersion } = this.details;
     return {
@@ -81,7 +80,7 @@
     };
   }
 
-  /** The same error about a write, with its verdict. */
+  /** Returns the same error with `verdict`, unless it already has one. */
   withVerdict(verdict: Verdict): ApiError {
     return new ApiError(this.code, this.message, { verdict, ...this.details });
   }
--- a/src/api/api-request.ts
+++ b/src/api/api-request.ts
@@ -1,13 +1,13 @@
-/** Reads what a request to the resource API asks for. Pure; throws {@link ApiError}. */
+/** Parses requests to the resource API. Pure; throws {@link ApiError}. */
 import { nameSchema, type ResourceKey, type ResourceKind } from '../model/resource.js';
 import { ApiError } from './api-error.js';
 import { parsePrecondition, type PreconditionHeaders } from './precondition-header.js';
 import type { WritePrecondition } from './write-port.js';
 
-/** Longest URL, in characters. */
+/** Maximum length of a URL, in characters. */
 export const MAX_URL_LENGTH = 2_048;
 
-/** What a request asks for. */
+/** A parsed request. */
 export type ApiRequest =
   | { readonly type: 'health' }
   | { readonly type: 'metrics' }
@@ -25,14 +25,14 @@
       readonly precondition: WritePrecondition;
     };
 
-/** The parts of an HTTP request that matter here. */
+/** The parts of an HTTP request that determine the {@link ApiRequest}. */
 export interface RequestLine {
   readonly method: string;
   readonly url: string;
   readonly headers: PreconditionHeaders;
 }
 
-/** Path segment of each kind. */
+/** Resource kind of each path segment. */
 export const KIND_PATHS = {
   services: 'service',
   routes: 'route',
@@ -41,15 +41,14 @@
   evacuations: 'evacuation',
 } as const satisfies Record<string, ResourceKind>;
 
-/** Path segment of requests under suspicion. */
+/** Path segment of the suspected requests. */
 const SUSPICIONS_SEGMENT = 'suspicions';
 
-/** Whether a method asks for a write, whatever its path. */
+/** Whether a method denotes a write, regardless of the path. */
 export function isWriteMethod(method: string): boolean {
   return method !== 'GET' && method !== 'HEAD' && method !== 'OPTIONS';
 }
 
-/** What `request` asks for. */
 export function parseApiRequest(request: RequestLine): ApiRequest {
   if (request.url.length > MAX_URL_LENGTH) {
     throw new ApiError('URL_TOO_LONG', `expected a URL of at most ${MAX_URL_LENGTH} characters`);
@@ -160,12 +159,14 @@
   }
 }
 
-function requireParameters(parameters: URLSearchParams, known: readonly string[]): void {
+function requireParameters(parameters: URLSearchParams, allowed: readonly string[]): void {
   const names = [...parameters.keys()];
-  const wrong = names.find((name, index) => !known.includes(name) || names.indexOf(name) < index);
-  if (wrong !== undefined) {
+  const invalidName = names.find(
+    (name, index) => !allowed.includes(name) || names.indexOf(name) < index,
+  );
+  if (invalidName !== undefined) {
     const expected =
-      known.length === 0 ? 'expected none' : `expected ${known.join(', ')}, each once`;
+      allowed.length === 0 ? 'expected none' : `expected ${allowed.join(', ')}, each once`;
     throw new ApiError('MALFORMED_REQUEST', `query parameters: ${expected}`);
   }
 }
--- a/src/api/api-response.ts
+++ b/src/api/api-response.ts
@@ -1,4 +1,4 @@
-/** Writes answers of the resource API. */
+/** Writes responses of the resource API. */
 import { Readable } from 'node:stream';
 import { pipeline } from 'node:stream/promises';
 import type { OutgoingHttpHeaders, ServerResponse } from 'node:http';
@@ -9,7 +9,6 @@
 
 const JSON_HEADERS = { 'content-type': 'application/json', 'cache-control': 'no-store' } as const;
 
-/** Answers with JSON. */
 export function sendJson(
   response: ServerResponse,
   status: number,
@@ -22,14 +21,14 @@
   response.end(text);
 }
 
-/** Answers with an error and the headers that belong to it. */
+/** Sends an error and its headers. */
 export function sendError(response: ServerResponse, error: ApiError): void {
   sendJson(response, error.status, error.toBody(), errorHeaders(error));
 }
 
 /**
- * Answers with a list, one item at a time, as fast as the client reads. Rejects when the client
- * leaves.
+ * Sends a list item by item, at the pace at which the client reads. Rejects if the client
+ * disconnects.
  */
 export async function sendList(
   response: ServerResponse,
--- a/src/api/change-log.ts
+++ b/src/api/change-log.ts
@@ -1,36 +1,36 @@
 /**
- * The changes that watches can read: a bounded log of batches, one for each snapshot that came into
- * force. Watchers share it; each holds only its position, so a slow one costs no memory. Pure.
+ * The changes that watches read: a bounded log of batches, one for each snapshot that became current.
+ * Watches share it and each keeps only its position, so that a slow watch uses no memory. Pure.
  */
 import type { ResourceKind } from '../model/resource.js';
 
-/** One change, ready to be sent. Contains no secret. */
+/** One serialized change. Contains no secret. */
 export interface LoggedChange {
   readonly kind: ResourceKind;
   readonly line: string;
 }
 
-/** All changes that one snapshot brought. */
+/** All changes of one snapshot. */
 export interface ChangeBatch {
   /** Cursor of the snapshot. */
   readonly cursor: string;
   readonly changes: readonly LoggedChange[];
 }
 
-/** What the log keeps at most. */
+/** Maximum size of the log. */
 export interface ChangeLogBounds {
   readonly maxEvents: number;
   readonly maxBytes: number;
 }
 
-/** What a position reads: a batch, nothing yet, or a place that the log no longer reaches. */
+/** Result of reading a position: a batch, `at-end` if there is none yet, `lost` if it was evicted. */
 export type LogEntry = ChangeBatch | 'at-end' | 'lost';
 
 interface StoredBatch extends ChangeBatch {
   readonly bytes: number;
 }
 
-/** Mutable log; positions count batches from the start of the process. */
+/** Mutable log; positions count batches since the start of the process. */
 export class ChangeLog {
   private readonly batches: StoredBatch[] = [];
   private readonly positions = new Map<string, number>();
@@ -38,7 +38,7 @@
   private events = 0;
   private bytes = 0;
 
-  /** `cursor` is the cursor of the snapshot in force now. */
+  /** `cursor` is the cursor of the current snapshot. */
   constructor(
     private readonly bounds: ChangeLogBounds,
     cursor: string,
@@ -51,7 +51,7 @@
     return this.oldest + this.batches.length;
   }
 
-  /** Adds a batch and forgets the oldest ones beyond the bounds, perhaps the new one itself. */
+  /** Adds a batch and evicts the oldest ones beyond the bounds, possibly including the new one. */
   append(batch: ChangeBatch): void {
     const bytes = batch.changes.reduce((sum, change) => sum + change.line.length, 0);
     this.batches.push({ ...batch, bytes });
@@ -59,16 +59,15 @@
     this.bytes += bytes;
     this.positions.set(batch.cursor, this.end);
     while (this.events > this.bounds.maxEvents || this.bytes > this.bounds.maxBytes) {
-      this.forgetOldest();
+      this.evictOldest();
     }
   }
 
-  /** Where a watch goes on that has seen everything up to `cursor`; undefined when unknown. */
+  /** Position from which a watch resumes after `cursor`; undefined if the cursor is unknown. */
   positionOf(cursor: string): number | undefined {
     return this.positions.get(cursor);
   }
 
-  /** The batch at `position`. */
   read(position: number): LogEntry {
     if (position < this.oldest) {
       return 'lost';
@@ -76,7 +75,7 @@
     return this.batches[position - this.oldest] ?? 'at-end';
   }
 
-  private forgetOldest(): void {
+  private evictOldest(): void {
     const batch = this.batches.shift();
     if (batch === undefined) {
       return;
@@ -84,12 +83,12 @@
     this.oldest += 1;
     this.events -= batch.changes.length;
     this.bytes -= batch.bytes;
-    this.forgetCursorsBefore(this.oldest);
+    this.evictCursorsBefore(this.oldest);
   }
 
-  private forgetCursorsBefore(position: number): void {
-    for (const [cursor, known] of this.positions) {
-      if (known >= position) {
+  private evictCursorsBefore(position: number): void {
+    for (const [cursor, cursorPosition] of this.positions) {
+      if (cursorPosition >= position) {
         return;
       }
       this.positions.delete(cursor);
--- a/src/api/client-error.ts
+++ b/src/api/client-error.ts
@@ -1,9 +1,9 @@
-/** Answers to connections on which no HTTP request could be read. */
+/** Error responses for connections on which no HTTP request could be parsed. */
 import { STATUS_CODES } from 'node:http';
 import type { Duplex } from 'node:stream';
 import { ApiError } from './api-error.js';
 
-/** The error that an HTTP parser's failure stands for. */
+/** Maps an HTTP parser's error code to an API error. */
 export function errorOfParser(code: string | undefined): ApiError {
   switch (code) {
     case 'HPE_HEADER_OVERFLOW':
@@ -15,9 +15,10 @@
   }
 }
 
-/** Answers on a bare socket and closes it. */
+/** Writes an error response to a raw socket and closes it. */
 export function sendErrorOnSocket(socket: Duplex, error: ApiError): void {
-  // Node leaves the socket of a CONNECT to its new owner: a reset would end the process.
+  // Node removes its own error listener from the socket of a CONNECT request: without this listener, a
+  // connection reset would end the process.
   socket.on('error', () => socket.destroy());
   if (!socket.writable) {
     socket.destroy();
--- a/src/api/configuration-feed.ts
+++ b/src/api/configuration-feed.ts
@@ -1,4 +1,4 @@
-/** Follows the configuration in force: keeps its index and the log of its changes. */
+/** Tracks the current configuration: maintains its resource index and its change log. */
 import type { ResourceKey, ResourceKind } from '../model/resource.js';
 import type { Snapshot, SnapshotVersion } from '../model/snapshot.js';
 import { ChangeLog, type ChangeLogBounds, type LoggedChange } from './change-log.js';
@@ -14,7 +14,7 @@
 } from './snapshot-difference.js';
 import { deleteLine, upsertLine } from './watch-event.js';
 
-/** Everything the API shows of the configuration, as of one snapshot. */
+/** The configuration as exposed by the API. */
 export class ConfigurationFeed {
   readonly log: ChangeLog;
   private index: ResourceIndex;
@@ -32,25 +32,24 @@
     this.index = differenceFrom(new Map(), snapshot, versionOf).index;
     this.version = snapshot.version;
     this.log = new ChangeLog(bounds, formatCursor(snapshot.version, maskDigest));
-    this.unsubscribe = view.subscribe((next) => this.follow(next));
+    this.unsubscribe = view.subscribe((next) => this.applySnapshot(next));
   }
 
-  /** Version of the snapshot in force. */
+  /** Version of the current snapshot. */
   get heldVersion(): SnapshotVersion {
     return this.version;
   }
 
-  /** Cursor of the snapshot in force. */
+  /** Cursor of the current snapshot. */
   get cursor(): string {
     return formatCursor(this.version, this.maskDigest);
   }
 
-  /** The resource under `key`. */
   find(key: ResourceKey): VersionedResource | undefined {
     return this.index.get(key);
   }
 
-  /** All resources of a kind, as of now: later changes do not show in a list that was begun. */
+  /** All resources of a kind; the returned iterable does not reflect later changes. */
   list(kind: ResourceKind): Iterable<VersionedResource> {
     return entriesOfKind(this.index, kind);
   }
@@ -61,13 +60,13 @@
     return () => this.listeners.delete(listener);
   }
 
-  /** Follows no longer. */
+  /** Stops tracking and removes all listeners. */
   close(): void {
     this.unsubscribe();
     this.listeners.clear();
   }
 
-  private follow(snapshot: Snapshot): void {
+  private applySnapshot(snapshot: Snapshot): void {
     const difference = differenceFrom(this.index, snapshot, this.versionOf);
     this.index = difference.index;
     this.version = snapshot.version;
--- a/src/api/configuration-view.ts
+++ b/src/api/configuration-view.ts
@@ -1,16 +1,16 @@
-/** What the resource API reads: the configuration in force and its changes. */
+/** Access of the resource API to the current configuration and its changes. */
 import type { Snapshot } from '../model/snapshot.js';
 
-/** Told of each snapshot that comes into force, in order. Must not throw. */
+/** Called with each snapshot that becomes current, in order. Must not throw. */
 export type SnapshotListener = (snapshot: Snapshot) => void;
 
 /** Ends a subscription. */
 export type Unsubscribe = () => void;
 
-/** The configuration in force on this node. */
+/** The current configuration of this node. */
 export interface ConfigurationView {
-  /** The snapshot in force; one without resources under `NO_SNAPSHOT_VERSION` before the first. */
+  /** The current snapshot; before the first, an empty one with `NO_SNAPSHOT_VERSION`. */
   current(): Snapshot;
-  /** Calls `listener` on every later swap, in the same tick as the swap. */
+  /** Calls `listener` on every later change of snapshot, in the same tick as the change. */
   subscribe(listener: SnapshotListener): Unsubscribe;
 }
--- a/src/api/cursor.ts
+++ b/src/api/cursor.ts
@@ -1,25 +1,24 @@
 /**
- * Cursors: the text form of a snapshot's version. A watch that is resumed with a cursor goes on
- * after that snapshot, on any node that passed through it.
+ * Cursors: the text form of a snapshot's version. A watch that is resumed with a cursor continues
+ * after that snapshot, on any node whose change log contains it.
  */
 import type { SnapshotVersion } from '../model/snapshot.js';
 import type { DigestMask } from './digest-mask.js';
 
 const CURSOR_PATTERN = /^(\d{1,16})\.[0-9a-f]{32}-(\d{1,16})\.[0-9a-f]{32}$/;
 
-/** The version numbers that a cursor names. */
+/** The version numbers in a cursor. */
 export interface CursorNumbers {
   readonly source: number;
   readonly operator: number;
 }
 
-/** The cursor of a snapshot. */
 export function formatCursor({ source, operator }: SnapshotVersion, mask: DigestMask): string {
   const sourceText = `${source.number}.${mask(source.digest)}`;
   return `${sourceText}-${operator.number}.${mask(operator.digest)}`;
 }
 
-/** The numbers in a cursor; undefined when `text` is none. */
+/** Parses the numbers in a cursor; returns undefined if `text` is not a cursor. */
 export function parseCursor(text: string): CursorNumbers | undefined {
   const match = CURSOR_PATTERN.exec(text);
   const source = Number(match?.[1]);
@@ -29,7 +28,7 @@
     : undefined;
 }
 
-/** Whether the cursor names something newer than what is held: this node lags behind another. */
+/** Whether the cursor is newer than the held version, so that this node lags behind another. */
 export function isAhead(cursor: CursorNumbers, held: SnapshotVersion): boolean {
   return cursor.source > held.source.number || cursor.operator > held.operator.number;
 }
--- a/src/api/digest-mask.ts
+++ b/src/api/digest-mask.ts
@@ -1,18 +1,18 @@
 /**
- * Digests of documents as operators see them. A document's own digest covers its secrets, so that
- * whoever knows the rest could test guesses of a secret's value against it; the masked one is keyed.
+ * Digests of documents as shown to operators. A document's own digest covers its secrets, so that
+ * anyone who knows the other content could test guesses of a secret against it; the masked digest is keyed.
  */
 import { createHmac } from 'node:crypto';
 import { EMPTY_DIGEST, type DocumentVersion } from '../model/version.js';
 import type { NodeStatus } from './node-status.js';
 
-/** Keeps these digests apart from other uses of the fleet key. */
+/** Separates these digests from other uses of the fleet key. */
 const PURPOSE = 'ferryspool document digest\0';
 
-/** Gives the masked form of a digest: as long, and equal on all nodes of a fleet. */
+/** Returns the masked form of a digest: of the same length, and equal on all nodes of a fleet. */
 export type DigestMask = (digest: string) => string;
 
-/** A mask under the fleet's key; the digest of an empty document stays as it is. */
+/** Creates a mask keyed with the fleet key; the digest of an empty document is not masked. */
 export function createDigestMask(fleetKey: string): DigestMask {
   return (digest) =>
     digest === EMPTY_DIGEST
@@ -24,7 +24,7 @@
           .slice(0, EMPTY_DIGEST.length);
 }
 
-/** A status in which every digest is masked. */
+/** Returns the status with every digest masked. */
 export function maskStatus(status: NodeStatus, mask: DigestMask): NodeStatus {
   const { held, source, members } = status;
   const { rejected } = source;
--- a/src/api/listener-limits.ts
+++ b/src/api/listener-limits.ts
@@ -1,32 +1,32 @@
-/** Bounds that the admin listener puts on connections, beside those of the settings. */
+/** Connection limits of the admin listener, in addition to those in the settings. */
 
-/** Request line and headers of one request, in bytes. */
+/** Maximum size of the request line and headers of one request, in bytes. */
 export const MAX_HEADER_BYTES = 16_384;
-/** Connections beyond the watches, at once. */
-export const MAX_PLAIN_CONNECTIONS = 256;
+/** Maximum number of concurrent connections that carry no watch. */
+export const MAX_NON_WATCH_CONNECTIONS = 256;
 
-/** Times after which the listener gives a connection up, in milliseconds. */
+/** Connection timeouts of the listener, in milliseconds. */
 export interface ListenerTimeouts {
-  /** For the headers of a request to arrive. */
+  /** Time limit for receiving the headers of a request. */
   readonly headersMs: number;
-  /** For a whole request to arrive. */
+  /** Time limit for receiving a complete request. */
   readonly requestMs: number;
-  /** Time between two checks of the two above. */
+  /** Interval at which {@link headersMs} and {@link requestMs} are checked. */
   readonly checkIntervalMs: number;
-  /** Idle connection after an answer. */
+  /** Time limit for an idle connection after a response. */
   readonly keepAliveMs: number;
-  /** Silence on a connection, unless it carries a watch. */
-  readonly silenceMs: number;
-  /** Silence after which TCP asks whether a watcher is still there. */
+  /** Time limit without traffic on a connection that carries no watch. */
+  readonly inactivityMs: number;
+  /** Time without traffic after which TCP sends a keep-alive probe. */
   readonly tcpKeepAliveMs: number;
 }
 
-/** The times that hold unless a test says otherwise. */
+/** Default timeouts; tests override them. */
 export const LISTENER_TIMEOUTS: ListenerTimeouts = {
   headersMs: 10_000,
   requestMs: 30_000,
   checkIntervalMs: 5_000,
   keepAliveMs: 5_000,
-  silenceMs: 60_000,
+  inactivityMs: 60_000,
   tcpKeepAliveMs: 30_000,
 };
--- a/src/api/precondition-header.ts
+++ b/src/api/precondition-header.ts
@@ -1,8 +1,8 @@
-/** Preconditions of writes, as HTTP headers. Pure; throws {@link ApiError}. */
+/** Parses the preconditions of writes from HTTP headers. Pure; throws {@link ApiError}. */
 import { ApiError } from './api-error.js';
 import type { WritePrecondition } from './write-port.js';
 
-/** Headers that carry a precondition, as Node gives them. */
+/** Headers that carry a precondition, in Node's lower-case form. */
 export interface PreconditionHeaders {
   readonly 'if-match'?: string | undefined;
   readonly 'if-none-match'?: string | undefined;
@@ -11,8 +11,8 @@
 const ENTITY_TAG_PATTERN = /^"?([0-9a-f]{1,64})"?$/;
 
 /**
- * `If-None-Match: *` creates, `If-Match: *` replaces whatever there is, `If-Match: "VERSION"`
- * replaces that version. A write without a precondition is refused.
+ * `If-None-Match: *` creates, `If-Match: *` replaces any version, `If-Match: "VERSION"` replaces
+ * exactly that version. A write without a precondition is refused.
  */
 export function parsePrecondition(headers: PreconditionHeaders): WritePrecondition {
   const ifMatch = headers['if-match'];
@@ -21,7 +21,7 @@
     throw new ApiError('MALFORMED_REQUEST', 'expected If-Match or If-None-Match, not both');
   }
   if (ifNoneMatch !== undefined) {
-    return absence(ifNoneMatch);
+    return parseIfNoneMatch(ifNoneMatch);
   }
   if (ifMatch === undefined) {
     throw new ApiError('PRECONDITION_REQUIRED', 'expected If-Match or If-None-Match: *');
@@ -36,7 +36,7 @@
   return { type: 'version', version };
 }
 
-function absence(ifNoneMatch: string): WritePrecondition {
+function parseIfNoneMatch(ifNoneMatch: string): WritePrecondition {
   if (ifNoneMatch !== '*') {
     throw new ApiError('MALFORMED_REQUEST', 'If-None-Match: expected *');
   }
--- a/src/api/request-body.ts
+++ b/src/api/request-body.ts
@@ -1,14 +1,14 @@
-/** Reads the bounded JSON body of a request. */
+/** Reads the JSON body of a request, up to a size limit. */
 import type { IncomingMessage } from 'node:http';
 import { ApiError } from './api-error.js';
 
 const JSON_MEDIA_TYPE = /^application\/json\s*(;|$)/i;
 
-/** The parsed body; rejects with {@link ApiError} when it is too large, cut short or not JSON. */
+/** Returns the parsed body; rejects with {@link ApiError} if it is too large, truncated or not JSON. */
 export async function readJsonBody(request: IncomingMessage, maxBytes: number): Promise<unknown> {
   requireJson(request.headers['content-type']);
   if (Number(request.headers['content-length'] ?? 0) > maxBytes) {
-    throw tooLarge(maxBytes);
+    throw bodyTooLarge(maxBytes);
   }
   const text = (await readBytes(request, maxBytes)).toString('utf8');
   try {
@@ -32,21 +32,24 @@
       size += chunk.length;
       if (size > maxBytes) {
         request.pause();
-        reject(tooLarge(maxBytes));
+        reject(bodyTooLarge(maxBytes));
         return;
       }
       chunks.push(chunk);
     });
     request.on('end', () => resolve(Buffer.concat(chunks)));
-    request.on('error', () => reject(cutShort()));
-    request.on('close', () => reject(cutShort()));
+    request.on('error', () => reject(bodyTruncated()));
+    request.on('close', () => reject(bodyTruncated()));
   });
 }
 
-function tooLarge(maxBytes: number): ApiError {
+function bodyTooLarge(maxBytes: number): ApiError {
   return new ApiError('BODY_TOO_LARGE', `body: expected at most ${maxBytes} bytes`);
 }
 
-function cutShort(): ApiError {
-  return new ApiError('MALFORMED_REQUEST', 'body: the connection was closed inside it');
+function bodyTruncated(): ApiError {
+  return new ApiError(
+    'MALFORMED_REQUEST',
+    'body: the connection was closed before the body was complete',
+  );
 }
--- a/src/api/resource-representation.ts
+++ b/src/api/resource-representation.ts
@@ -1,4 +1,4 @@
-/** Resources as the API shows them. A secret's value is never shown, by list, get or watch. */
+/** JSON representation of resources. A secret's value is never included, in a list, get or watch. */
 import type { Resource, ResourceKind } from '../model/resource.js';
 
 /** A resource with its version. */
@@ -7,11 +7,11 @@
   readonly name: string;
   /** For `If-Match`; equal on every node that holds the same content. */
   readonly version: string;
-  /** As in the configuration; empty for a secret. */
+  /** The spec as configured; empty for a secret. */
   readonly spec: Exclude<Resource, { kind: 'secret' }>['spec'] | Record<string, never>;
 }
 
-/** What may be shown of `resource`. */
+/** Returns the representation of `resource`, without the value of a secret. */
 export function representResource(resource: Resource, version: string): ResourceRepresentation {
   const { kind, name } = resource;
   return { kind, name, version, spec: resource.kind === 'secret' ? {} : resource.spec };
--- a/src/api/resource-writer.ts
+++ b/src/api/resource-writer.ts
@@ -1,4 +1,4 @@
-/** Turns write requests into writes, and what became of them into answers. */
+/** Submits write requests and converts their outcomes to API responses. */
 import { z } from 'zod';
 import {
   resourceSchema,
@@ -15,7 +15,7 @@
   readonly verdict: 'ran';
   readonly kind: ResourceKind;
   readonly name: string;
-  /** Version of what was written; absent for a deletion. */
+  /** Version of the written resource; absent for a deletion. */
   readonly version?: string;
   /** Revision of the operators' document that contains the write. */
   readonly operatorRevision: number;
@@ -27,16 +27,16 @@
   spec: z.unknown(),
 });
 
-/** The resource that a `PUT` of `kind` and `name` carries; throws {@link ApiError}. */
+/** Parses the resource in the body of a `PUT` of `kind` and `name`; throws {@link ApiError}. */
 export function parseResourceBody(kind: ResourceKind, name: string, body: unknown): Resource {
-  const outer = bodySchema.safeParse(body);
-  if (!outer.success) {
-    throw invalidResource(outer.error);
+  const envelope = bodySchema.safeParse(body);
+  if (!envelope.success) {
+    throw invalidResource(envelope.error);
   }
-  if ((outer.data.kind ?? kind) !== kind || (outer.data.name ?? name) !== name) {
+  if ((envelope.data.kind ?? kind) !== kind || (envelope.data.name ?? name) !== name) {
     throw new ApiError('MALFORMED_REQUEST', 'body: kind and name differ from the path');
   }
-  const parsed = resourceSchema.safeParse({ kind, name, spec: outer.data.spec });
+  const parsed = resourceSchema.safeParse({ kind, name, spec: envelope.data.spec });
   if (!parsed.success) {
     throw invalidResource(parsed.error);
   }
@@ -51,7 +51,7 @@
   return new ApiError('INVALID_RESOURCE', 'the resource is not valid', { faults });
 }
 
-/** Hands writes to a port and gives up waiting after a time. */
+/** Submits writes to a port and waits for their outcomes up to a timeout. */
 export class ResourceWriter {
   constructor(
     private readonly port: WritePort,
@@ -60,11 +60,11 @@
     private readonly timeoutMs: number,
   ) {}
 
-  /** The answer to an accepted write; rejects with {@link ApiError} that carries a verdict. */
+  /** Returns the body for an accepted write; rejects with an {@link ApiError} that carries a verdict. */
   async write(request: WriteRequest): Promise<AcceptedBody> {
-    const outcome = await this.outcomeInTime(request);
+    const outcome = await this.outcomeWithinTimeout(request);
     if (outcome.outcome !== 'accepted') {
-      throw failureOf(outcome);
+      throw toApiError(outcome);
     }
     const { resource } = request;
     const [kind, name] = splitKey(request.key);
@@ -77,17 +77,17 @@
     };
   }
 
-  private async outcomeInTime(request: WriteRequest): Promise<WriteOutcome> {
+  private async outcomeWithinTimeout(request: WriteRequest): Promise<WriteOutcome> {
     let timer: NodeJS.Timeout | undefined;
-    const late = new Promise<WriteOutcome>((resolve) => {
+    const timeout = new Promise<WriteOutcome>((resolve) => {
       timer = setTimeout(() => {
         resolve({ outcome: 'unknown', reason: `no decision within ${this.timeoutMs} ms` });
       }, this.timeoutMs);
     });
     try {
-      return await Promise.race([this.port.submitWrite(request), late]);
+      return await Promise.race([this.port.submitWrite(request), timeout]);
     } catch {
-      return { outcome: 'unknown', reason: 'the write failed on its way' };
+      return { outcome: 'unknown', reason: 'submitting the write failed' };
     } finally {
       clearTimeout(timer);
     }
@@ -99,13 +99,15 @@
   return [key.slice(0, separator) as ResourceKind, key.slice(separator + 1)];
 }
 
-function failureOf(outcome: Exclude<WriteOutcome, { outcome: 'accepted' }>): ApiError {
+function toApiError(outcome: Exclude<WriteOutcome, { outcome: 'accepted' }>): ApiError {
   switch (outcome.outcome) {
     case 'conflict': {
       const { currentVersion } = outcome;
       return new ApiError(
         'PRECONDITION_FAILED',
-        currentVersion === undefined ? 'there is no such resource' : 'it is at another version',
+        currentVersion === undefined
+          ? 'there is no such resource'
+          : 'the resource is at another version',
         { verdict: 'not-run', ...(currentVersion === undefined ? {} : { currentVersion }) },
       );
     }
--- a/src/api/snapshot-difference.ts
+++ b/src/api/snapshot-difference.ts
@@ -1,4 +1,4 @@
-/** What changed between two snapshots, with the version of each resource. Pure. */
+/** Computes the difference between two snapshots, with the version of each resource. Pure. */
 import { isDeepStrictEqual } from 'node:util';
 import type { Resource, ResourceKey } from '../model/resource.js';
 import type { Snapshot } from '../model/snapshot.js';
@@ -13,17 +13,17 @@
 /** The resources of one snapshot with their versions. */
 export type ResourceIndex = ReadonlyMap<ResourceKey, VersionedResource>;
 
-/** The way from one snapshot to the next. */
+/** Difference between a snapshot and the one before it. */
 export interface SnapshotDifference {
   /** Index of the later snapshot. */
   readonly index: ResourceIndex;
   /** Created and changed resources. */
   readonly upserts: readonly VersionedResource[];
-  /** Resources that are gone, as they were. */
+  /** Removed resources with their last content. */
   readonly removals: readonly VersionedResource[];
 }
 
-/** Compares `snapshot` with the index of the one before; unchanged resources keep their entry. */
+/** Compares `snapshot` with the index of the previous one; unchanged resources keep their entry. */
 export function differenceFrom(
   previous: ResourceIndex,
   snapshot: Snapshot,
@@ -32,9 +32,9 @@
   const index = new Map<ResourceKey, VersionedResource>();
   const upserts: VersionedResource[] = [];
   for (const [key, resource] of snapshot.resources) {
-    const before = previous.get(key);
-    if (before !== undefined && isDeepStrictEqual(before.resource, resource)) {
-      index.set(key, before);
+    const previousEntry = previous.get(key);
+    if (previousEntry !== undefined && isDeepStrictEqual(previousEntry.resource, resource)) {
+      index.set(key, previousEntry);
       continue;
     }
     const entry = { resource, version: versionOf(resource) };
--- a/src/api/watch-event.ts
+++ b/src/api/watch-event.ts
@@ -15,33 +15,33 @@
   readonly name: string;
 }
 
-/** Every change up to `cursor` has been sent: the place to resume from. */
+/** Every change up to `cursor` has been sent; a watch can resume from it. */
 export interface BookmarkEvent {
   readonly type: 'bookmark';
   readonly cursor: string;
 }
 
-/** Last line of a watch that the node ends. */
+/** Last line of a watch that is ended by the node. */
 export interface EndEvent {
   readonly type: 'end';
-  /** `TOO_SLOW`: list again. `STOPPING`: the node stops; resume from the last bookmark elsewhere. */
+  /** `TOO_SLOW`: list again. `STOPPING`: resume from the last bookmark on another node. */
   readonly code: 'TOO_SLOW' | 'STOPPING';
   readonly message: string;
 }
 
 export type WatchEvent = UpsertEvent | DeleteEvent | BookmarkEvent | EndEvent;
 
-/** The line of an event, with its line end. */
+/** Formats an event as a line, including the line terminator. */
 export function watchLine(event: WatchEvent): string {
   return `${JSON.stringify(event)}\n`;
 }
 
-/** The line that tells of a created or changed resource. */
+/** Formats the line for a created or changed resource. */
 export function upsertLine({ resource, version }: VersionedResource): string {
   return watchLine({ type: 'upsert', ...representResource(resource, version) });
 }
 
-/** The line that tells of a deleted resource. */
+/** Formats the line for a deleted resource. */
 export function deleteLine({ resource }: VersionedResource): string {
   return watchLine({ type: 'delete', kind: resource.kind, name: resource.name });
 }
--- a/src/api/watch-registry.ts
+++ b/src/api/watch-registry.ts
@@ -1,4 +1,4 @@
-/** The watches that are open on a node: admits, counts and ends them. */
+/** Admits, counts and ends the watches of a node. */
 import type { ServerResponse } from 'node:http';
 import type { CounterSink } from '../control/control-event.js';
 import type { ResourceKind } from '../model/resource.js';
@@ -8,9 +8,9 @@
 import { isAhead, parseCursor } from './cursor.js';
 import { WatchStream, type WatchEnd } from './watch-stream.js';
 
-/** Time after which a node that lags behind may be asked again, in milliseconds. */
+/** Retry delay for a cursor that this node does not hold yet, in milliseconds. */
 const LAGGING_RETRY_AFTER_MS = 1_000;
-/** Time after which a refused watch may be tried again, in milliseconds. */
+/** Retry delay for a watch refused because too many are open, in milliseconds. */
 const TOO_MANY_RETRY_AFTER_MS = 5_000;
 
 const END_COUNTERS: Readonly<Record<WatchEnd, string>> = {
@@ -19,33 +19,32 @@
   stopping: API_COUNTERS.watchesStopped,
 };
 
-/** What a registry needs. */
 export interface WatchRegistryOptions {
   readonly feed: ConfigurationFeed;
   readonly counters: CounterSink;
-  /** Watches open at once. */
+  /** Maximum number of open watches. */
   readonly maxWatchers: number;
 }
 
 /** All open watches of one node. */
 export class WatchRegistry {
-  private readonly open = new Set<WatchStream>();
+  private readonly openWatches = new Set<WatchStream>();
 
   constructor(private readonly options: WatchRegistryOptions) {}
 
   /** Number of open watches. */
   get size(): number {
-    return this.open.size;
+    return this.openWatches.size;
   }
 
   /**
-   * Opens a watch on `response`, after the snapshot that `cursor` names or with the present state
-   * first. Throws {@link ApiError} before anything is written.
+   * Opens a watch on `response` that resumes after `cursor`, or starts with the current state if there
+   * is none. Throws {@link ApiError} before anything is written.
    */
   start(kind: ResourceKind, cursor: string | undefined, response: ServerResponse): void {
     const { feed, counters, maxWatchers } = this.options;
     const from = cursor === undefined ? undefined : this.positionOf(cursor);
-    if (this.open.size >= maxWatchers) {
+    if (this.openWatches.size >= maxWatchers) {
       counters.add(API_COUNTERS.watchesRefused);
       const details = { retryAfterMs: TOO_MANY_RETRY_AFTER_MS };
       throw new ApiError('TOO_MANY_WATCHERS', `at most ${maxWatchers} watches`, details);
@@ -55,7 +54,7 @@
       'cache-control': 'no-store',
     });
     response.flushHeaders();
-    // A watch is silent while nothing changes.
+    // A watch carries no traffic while nothing changes.
     response.socket?.setTimeout(0);
     const watch: WatchStream = new WatchStream({
       feed,
@@ -63,18 +62,18 @@
       from,
       response,
       onEnd: (end) => {
-        this.open.delete(watch);
+        this.openWatches.delete(watch);
         counters.add(END_COUNTERS[end]);
       },
     });
-    this.open.add(watch);
+    this.openWatches.add(watch);
     counters.add(API_COUNTERS.watchesOpened);
     watch.start();
   }
 
-  /** Ends every watch, because the node stops. */
+  /** Ends every watch when the node stops. */
   stop(): void {
-    for (const watch of this.open) {
+    for (const watch of this.openWatches) {
       watch.stop();
     }
   }
@@ -94,6 +93,9 @@
       throw new ApiError('NOT_HELD_YET', 'this node does not hold that version yet', details);
     }
     counters.add(API_COUNTERS.watchesTooOld);
-    throw new ApiError('LIST_AGAIN', 'the cursor is too old, or of another history: list again');
+    throw new ApiError(
+      'LIST_AGAIN',
+      'the cursor is too old or belongs to another history: list again',
+    );
   }
 }
--- a/src/api/watch-stream.ts
+++ b/src/api/watch-stream.ts
@@ -1,6 +1,6 @@
 /**
- * One watch: a js-csp process that writes lines as fast as the client reads them and no faster. A
- * client that reads too slowly falls out of the change log and is told to list again.
+ * One watch: a js-csp process that writes lines at the pace at which the client reads them. If the
+ * client reads so slowly that its position is evicted from the change log, it must list again.
  */
 import type { ServerResponse } from 'node:http';
 import csp, { type Channel, type Process } from 'js-csp';
@@ -10,26 +10,25 @@
 import type { VersionedResource } from './snapshot-difference.js';
 import { upsertLine, watchLine, type EndEvent } from './watch-event.js';
 
-/** Time that a client has to take the last line, in milliseconds. */
-const LAST_LINE_TIMEOUT_MS = 1_000;
+/** Time limit for the client to receive the last line, in milliseconds. */
+const END_LINE_TIMEOUT_MS = 1_000;
 
-/** How a watch came to its end. */
+/** Reason for the end of a watch. */
 export type WatchEnd = 'closed-by-client' | 'too-slow' | 'stopping';
 
-/** What a watch reads and writes. */
 export interface WatchStreamOptions {
   readonly feed: ConfigurationFeed;
   readonly kind: ResourceKind;
-  /** Position in the log to go on from; undefined to send the present state first. */
+  /** Position in the log to resume from; undefined to send the current state first. */
   readonly from: number | undefined;
   readonly response: ServerResponse;
-  /** Told once, when the watch has ended. Must not throw. */
+  /** Called once when the watch has ended. Must not throw. */
   readonly onEnd: (end: WatchEnd) => void;
 }
 
-/** A watch that runs until the client leaves, falls behind or {@link stop} is called. */
+/** A watch that runs until the client disconnects, falls behind or {@link stop} is called. */
 export class WatchStream {
-  /** Wakes the process: the log changed, the socket drained, or the watch is to stop. */
+  /** Wakes the process when the log changed, the socket drained or the watch is to stop. */
   private readonly wakeups: Channel<true> = csp.chan(csp.buffers.sliding(1));
   private readonly unsubscribe: () => void;
   private stopping = false;
@@ -44,20 +43,20 @@
     response.on('error', () => this.wakeups.close());
   }
 
-  /** Starts the process; the response's head has been written. */
+  /** Starts the process; the response headers must have been written. */
   start(): void {
     const { feed, kind, from } = this.options;
     const state = from === undefined ? feed.list(kind) : undefined;
     csp.go(watchProcess, [this, state, feed.cursor]);
   }
 
-  /** Ends the watch, because the node stops. */
+  /** Ends the watch when the node stops. */
   stop(): void {
     this.stopping = true;
     this.wake();
   }
 
-  /** Sends the present state, then changes, until an end is reached. */
+  /** Sends the current state if given, then changes, until the watch ends. */
   *run(state: Iterable<VersionedResource> | undefined, cursor: string): Process<WatchEnd> {
     if (state !== undefined) {
       for (const entry of state) {
@@ -71,29 +70,29 @@
         return end;
       }
     }
-    return yield* this.follow();
+    return yield* this.sendChanges();
   }
 
-  /** Ends the response as befits `end`. */
+  /** Ends the response, with a last line unless the client has disconnected. */
   finish(end: WatchEnd): void {
     this.unsubscribe();
     this.wakeups.close();
     const { response, onEnd } = this.options;
     if (end !== 'closed-by-client') {
-      response.end(watchLine(lastEvent(end)));
-      const timer = setTimeout(() => response.destroy(), LAST_LINE_TIMEOUT_MS);
+      response.end(watchLine(endEvent(end)));
+      const timer = setTimeout(() => response.destroy(), END_LINE_TIMEOUT_MS);
       response.on('close', () => clearTimeout(timer));
     }
     onEnd(end);
   }
 
-  private *follow(): Process<WatchEnd> {
+  private *sendChanges(): Process<WatchEnd> {
     for (;;) {
       const entry = this.options.feed.log.read(this.position);
       if (entry === 'lost') {
         return 'too-slow';
       }
-      const end = entry === 'at-end' ? yield* this.sleep() : yield* this.sendBatch(entry);
+      const end = entry === 'at-end' ? yield* this.waitForWakeup() : yield* this.sendBatch(entry);
       if (end !== undefined) {
         return end;
       }
@@ -111,12 +110,12 @@
     return yield* this.send(watchLine({ type: 'bookmark', cursor: batch.cursor }));
   }
 
-  /** Writes a line and waits until the client has taken enough of what was written. */
+  /** Writes a line and waits until the response's write buffer has drained. */
   private *send(line: string): Process<WatchEnd | undefined> {
     const { response, feed } = this.options;
     response.write(line);
     while (response.writableNeedDrain) {
-      const end = yield* this.sleep();
+      const end = yield* this.waitForWakeup();
       if (end !== undefined) {
         return end;
       }
@@ -127,7 +126,7 @@
     return undefined;
   }
 
-  private *sleep(): Process<WatchEnd | undefined> {
+  private *waitForWakeup(): Process<WatchEnd | undefined> {
     if (this.stopping) {
       return 'stopping';
     }
@@ -154,8 +153,12 @@
   watch.finish(end);
 }
 
-function lastEvent(end: Exclude<WatchEnd, 'closed-by-client'>): EndEvent {
+function endEvent(end: Exclude<WatchEnd, 'closed-by-client'>): EndEvent {
   return end === 'too-slow'
-    ? { type: 'end', code: 'TOO_SLOW', message: 'fell out of the change history: list again' }
-    : { type: 'end', code: 'STOPPING', message: 'the node stops: resume on another' };
+    ? {
+        type: 'end',
+        code: 'TOO_SLOW',
+        message: 'the client read too slowly and left the change history: list again',
+      }
+    : { type: 'end', code: 'STOPPING', message: 'the node is stopping: resume on another node' };
 }
--- a/src/runtime/bounded-line-sink.ts
+++ b/src/runtime/bounded-line-sink.ts
@@ -1,29 +1,28 @@
 /**
- * Writes log lines without ever waiting for their reader. Lines that would have to wait beyond a
- * bound are dropped and counted; a line says how many once there is room again.
+ * Writes log lines without blocking on a slow reader. While the stream buffers more than a limit,
+ * lines are dropped and counted; the next line that can be written is preceded by a report of the count.
  */
 import type { LineSink } from './logger.js';
 
-/** Bytes that may wait for a slow reader. */
-const MAX_WAITING_BYTES = 256 * 1024;
+/** Bytes that the stream may buffer for a slow reader. */
+const MAX_BUFFERED_BYTES = 256 * 1024;
 
-/** A stream that keeps what its reader has not taken yet. */
+/** A stream that buffers data until its reader consumes it. */
 export interface BufferingStream {
   readonly writableLength: number;
   write(text: string): unknown;
 }
 
-/** The sink. */
 export class BoundedLineSink implements LineSink {
   private droppedLines = 0;
 
   constructor(
     private readonly stream: BufferingStream,
-    private readonly maxWaitingBytes = MAX_WAITING_BYTES,
+    private readonly maxBufferedBytes = MAX_BUFFERED_BYTES,
   ) {}
 
   write(line: string): void {
-    if (this.stream.writableLength > this.maxWaitingBytes) {
+    if (this.stream.writableLength > this.maxBufferedBytes) {
       this.droppedLines += 1;
       return;
     }
--- a/src/runtime/containment-metrics.ts
+++ b/src/runtime/containment-metrics.ts
@@ -1,4 +1,4 @@
-/** What a node tells of requests under which endpoints ended, in figures. */
+/** Gauges of requests during which endpoint processes exited. */
 import type { Containment } from '../containment/containment.js';
 import type { Metrics } from './metrics.js';
 
--- a/src/runtime/control-components.ts
+++ b/src/runtime/control-components.ts
@@ -1,4 +1,4 @@
-/** The components of a node's control plane, made from its settings. */
+/** Creates the components of a node's control plane from its settings. */
 import { createResourceVersioner } from '../api/resource-version.js';
 import { ClaimComponent } from '../claims/claim-component.js';
 import type { CounterSink } from '../control/control-event.js';
@@ -12,10 +12,10 @@
 /** Time between reads of the machine list, as a multiple of the time between configuration reads. */
 const MACHINES_INTERVAL_FACTOR = 5;
 
-/** Time given to a write, as a part of the time that the API waits for its outcome. */
+/** Timeout of a write, as a fraction of the time that the API waits for its outcome. */
 const WRITE_TIMEOUT_FACTOR = 0.9;
 
-/** Reads the platform under a lease, and grants leases. */
+/** Creates the component that reads the platform under a lease and grants leases to other readers. */
 export function createReader(
   { platform, seeds, readerShares, lease }: Settings,
   counters: CounterSink,
@@ -39,7 +39,7 @@
   });
 }
 
-/** Holds claims of idempotency keys. */
+/** Creates the component that holds claims of idempotency keys. */
 export function createClaims(
   { claims }: Settings,
   counters: CounterSink,
@@ -54,7 +54,7 @@
   });
 }
 
-/** Replicates operators' writes. */
+/** Creates the component that replicates operators' writes. */
 export function createReplica(
   { writes, api, fleetKey }: Settings,
   counters: CounterSink,
--- a/src/runtime/control-node.ts
+++ b/src/runtime/control-node.ts
@@ -1,5 +1,5 @@
 /**
- * The control plane of one node at work: decision logic, peer transport and platform client, joined
+ * The running control plane of one node: decision logic, peer transport and platform client, connected
  * by a {@link ControlRuntime}. It has no request path, so that many can share a process.
  */
 import type { ComponentFactory, ControlPlaneOptions } from '../control/control-options.js';
@@ -17,14 +17,14 @@
 import type { PeerTransport, TransportTls } from '../transport/transport-options.js';
 import { ControlRuntime } from './control-runtime.js';
 
-/** What a control node is made from. */
+/** Options of a control node. */
 export interface ControlNodeOptions {
-  /** Who the node is; a `controlPort` of 0 takes a free port. */
+  /** Identity of the node; a `controlPort` of 0 selects a free port. */
   readonly identity: PeerIdentity;
   readonly fleetKey: string;
   readonly tls?: TransportTls | undefined;
   readonly seeds: readonly PeerAddress[];
-  /** Numbers of the overlay; see `CONTROL_DEFAULTS`. */
+  /** Overlay limits and intervals; see `CONTROL_DEFAULTS`. */
   readonly overlay?: Partial<
     Pick<
       ControlPlaneOptions,
@@ -36,26 +36,25 @@
       | 'memo'
     >
   >;
-  /** Reads the platform; a node without it never reads. */
+  /** Reads the platform; a node without a client never reads it. */
   readonly platform?: PlatformClient | undefined;
-  /** Opens the links to peers; {@link createPeerTransport} unless a tool puts faults in between. */
+  /** Opens the links to peers. Defaults to {@link createPeerTransport}; tools replace it to inject faults. */
   readonly openTransport?: typeof createPeerTransport | undefined;
   readonly components: readonly ComponentFactory[];
   readonly counters: CounterSink;
   readonly random: RandomSource;
-  /** Clock of leases and deadlines; see `elapsed-clock.ts`. */
+  /** Clock for leases and deadlines; see `elapsed-clock.ts`. */
   readonly now: () => number;
-  /** Told of each configuration that comes into force. */
+  /** Called with each snapshot that becomes current. */
   readonly onSnapshot: (snapshot: Snapshot) => void;
-  /** Told of each change of state worth a line in the log. */
-  readonly onStateChange: (what: string, detail: string) => void;
+  /** Called on each state change that is to be logged. */
+  readonly onStateChange: (event: string, detail: string) => void;
 }
 
-/** One running control plane. */
 export class ControlNode {
   readonly plane: ControlPlane;
   private readonly runtime: ControlRuntime;
-  private announced: Promise<void> | undefined;
+  private announcement: Promise<void> | undefined;
 
   private constructor(
     private readonly options: ControlNodeOptions,
@@ -78,7 +77,7 @@
     });
   }
 
-  /** Opens the control port and starts; rejects when the port can not be opened. */
+  /** Opens the control port and starts the control plane; rejects if the port cannot be opened. */
   static async open(options: ControlNodeOptions): Promise<ControlNode> {
     let deliver: (event: ControlEvent) => void = () => undefined;
     const openTransport = options.openTransport ?? createPeerTransport;
@@ -101,25 +100,25 @@
     return this.transport.port;
   }
 
-  /** Queues an event for the decision logic; false when it can not be taken. */
+  /** Queues an event for the decision logic; returns false if the queue is full or closed. */
   offer(event: ControlEvent): boolean {
     return this.runtime.offer(event);
   }
 
-  /** First half of a planned stop: the fleet is told, leases are given back; links stay open. */
+  /** First half of a planned stop: notifies the fleet and releases leases; links stay open. */
   announceStop(): Promise<void> {
-    this.announced ??= this.runtime.stop();
-    return this.announced;
+    this.announcement ??= this.runtime.stop();
+    return this.announcement;
   }
 
-  /** Planned stop: announces it if that was not done, sends what was written, closes. */
+  /** Planned stop: announces it if not done yet, flushes queued messages and closes. */
   async stop(): Promise<void> {
     await this.announceStop();
     this.close();
     await this.transport.stop();
   }
 
-  /** Closes everything at once. */
+  /** Closes everything immediately. */
   abort(): void {
     this.close();
     void this.transport.stop();
@@ -130,7 +129,7 @@
     this.options.platform?.close();
   }
 
-  /** A peer whose message finds the queue full is hung up: it dials again and catches up. */
+  /** Closes the link to a peer whose message does not fit the queue; the peer dials again and catches up. */
   private deliver(event: ControlEvent): void {
     if (!this.runtime.offer(event) && event.type === 'message') {
       this.transport.hangUp(event.from.id);
--- a/src/runtime/control-runtime.ts
+++ b/src/runtime/control-runtime.ts
@@ -1,6 +1,6 @@
 /**
- * Runs a control component: one js-csp process takes events from a channel in order, hands each to
- * the decision logic with the time, and executes the effects before it takes the next.
+ * Runs a control component: one js-csp process reads events from a channel in order, passes each to
+ * the decision logic with the current time, and executes its effects before it reads the next event.
  */
 import csp, { type Channel } from 'js-csp';
 import type {
@@ -10,20 +10,19 @@
   CounterSink,
 } from '../control/control-event.js';
 
-/** Events waiting for the decision logic at most; beyond it the offering side is told no. */
+/** Maximum number of events queued for the decision logic; further events are rejected. */
 export const MAX_PENDING_EVENTS = 4_096;
-/** Longest sleep between two looks at the component's next wake time, in milliseconds. */
+/** Longest wake-up timer, in milliseconds; a later wake time is reached over several timers. */
 const MAX_SLEEP_MS = 60_000;
 
-/** What the runtime needs from its surroundings. */
 export interface ControlRuntimeOptions {
   readonly component: ControlComponent;
-  /** Executes one effect, which was decided on at the time given; must not throw. */
+  /** Executes one effect, which was decided on at `decidedAtMs`; must not throw. */
   readonly execute: (effect: ControlEffect, decidedAtMs: number) => void;
   /** Monotonic clock, in milliseconds. */
   readonly now: () => number;
   readonly counters: CounterSink;
-  /** Told of an event that the decision logic failed on; the event is dropped, the node goes on. */
+  /** Called when the decision logic throws on an event; the event is dropped and processing continues. */
   readonly onFailure: (event: ControlEvent, error: unknown) => void;
 }
 
@@ -37,13 +36,13 @@
 
   constructor(private readonly options: ControlRuntimeOptions) {}
 
-  /** Starts the process and hands the component its `start` event. */
+  /** Starts the process and queues the component's `start` event. */
   start(): void {
     csp.go(eventLoop, [this.events, (event: ControlEvent) => this.process(event)]);
     this.offer({ type: 'start' });
   }
 
-  /** Queues an event; false when the queue is full or the runtime has stopped. */
+  /** Queues an event; returns false if the queue is full or the runtime is closed. */
   offer(event: ControlEvent): boolean {
     if (this.closed) {
       return false;
@@ -55,7 +54,7 @@
     return accepted;
   }
 
-  /** Hands the component its `stop` event, after the events before it; resolves when it is done. */
+  /** Queues the component's `stop` event behind pending events; resolves once it has been processed. */
   stop(): Promise<void> {
     return new Promise((resolve) => {
       this.onStopProcessed = resolve;
@@ -65,7 +64,7 @@
     });
   }
 
-  /** Takes no more events and timers; the component gets no `stop` event from here. */
+  /** Accepts no more events and cancels the timer; does not send the component a `stop` event. */
   close(): void {
     this.closed = true;
     clearTimeout(this.timer);
--- a/src/runtime/internal-server.ts
+++ b/src/runtime/internal-server.ts
@@ -1,6 +1,6 @@
 /**
- * Serves what peers and monitoring read of a node: changes of its replica, its feed, its metrics, and the
- * requests under suspicion, which operators may let go.
+ * HTTP server for peers, monitoring and operators: serves replica changes, the change feed, metrics and
+ * suspected requests, whose suspicions operators can release.
  */
 import http, { type ServerResponse } from 'node:http';
 import type { SuspicionView } from '../containment/suspicion.js';
@@ -13,11 +13,10 @@
 const OK_STATUS = 200;
 const BAD_REQUEST_STATUS = 400;
 const NOT_FOUND_STATUS = 404;
-const FAULT_STATUS = 500;
-/** Path of the requests under suspicion; one that is to be let go follows it. */
+const INTERNAL_ERROR_STATUS = 500;
+/** Path of the suspected requests; a `DELETE` appends the fingerprint to release. */
 const SUSPICIONS_PATH = '/v1/suspicions';
 
-/** What the server serves. */
 export interface InternalServerOptions {
   readonly metrics: Metrics;
   readonly deltas: DeltaTexts;
@@ -26,8 +25,8 @@
 }
 
 /**
- * Makes the server; the caller listens on it. Every path but {@link CHANGES_PATH}, {@link FEED_PATH} and
- * {@link SUSPICIONS_PATH} gives metrics.
+ * Creates the server; the caller listens on it. Every path except {@link CHANGES_PATH}, {@link FEED_PATH}
+ * and {@link SUSPICIONS_PATH} returns metrics.
  */
 export function createInternalServer(options: InternalServerOptions): http.Server {
   const { metrics, deltas, feed, suspicions } = options;
@@ -44,14 +43,14 @@
       });
     } else if (path.startsWith(SUSPICIONS_PATH)) {
       const fingerprint = path.slice(SUSPICIONS_PATH.length + 1);
-      answerSuspicions(response, suspicions, request.method ?? '', fingerprint);
+      handleSuspicions(response, suspicions, request.method ?? '', fingerprint);
     } else {
       sendMetrics(response, metrics);
     }
   });
 }
 
-function answerSuspicions(
+function handleSuspicions(
   response: ServerResponse,
   suspicions: SuspicionView,
   method: string,
@@ -62,12 +61,12 @@
   } else if (method === 'DELETE' && suspicions.release(fingerprint)) {
     sendJson(response, OK_STATUS, { released: fingerprint });
   } else {
-    const message = `nothing stands against a request ${fingerprint}`;
+    const message = `no suspicion recorded for request ${fingerprint}`;
     sendJson(response, NOT_FOUND_STATUS, { code: 'NOT_FOUND', message });
   }
 }
 
-/** Answers with `send`, or refuses a text that is no revision. */
+/** Calls `send` with the parsed revision, or answers 400 if `text` is not a revision. */
 function withRevision(
   response: ServerResponse,
   text: string,
@@ -84,7 +83,7 @@
 function sendMetrics(response: ServerResponse, metrics: Metrics): void {
   metrics.text().then(
     (text) => response.writeHead(OK_STATUS, { 'Content-Type': metrics.contentType }).end(text),
-    () => response.writeHead(FAULT_STATUS).end(),
+    () => response.writeHead(INTERNAL_ERROR_STATUS).end(),
   );
 }
 
--- a/src/runtime/life-cycle.ts
+++ b/src/runtime/life-cycle.ts
@@ -1,9 +1,9 @@
 /**
- * The life-cycle manager: owns what must be closed, and closes it in the reverse order, each thing
- * once. What fails to close is reported and does not keep the rest open.
+ * The life-cycle manager: owns resources and closes each of them once, in reverse order of their
+ * registration. A resource that fails to close is reported and does not prevent closing the others.
  */
 
-/** How one resource is closed. */
+/** Closes one resource. */
 export type Close<T> = (res: T) => void | Promise<void>;
 
 interface Owned {
@@ -11,20 +11,20 @@
   readonly close: () => void | Promise<void>;
 }
 
-/** Owner of the resources of one object. */
+/** Owns the resources of one object. */
 export class LifeCycle {
   private readonly owned: Owned[] = [];
   private closing: Promise<void> | undefined;
 
-  /** `onError` gets what a resource threw as it was closed. */
+  /** `onError` receives the error that closing a resource threw. */
   constructor(private readonly onError: (name: string, err: unknown) => void = () => undefined) {}
 
-  /** Whether closing has begun. */
+  /** Whether closing has started. */
   get isClosed(): boolean {
     return this.closing !== undefined;
   }
 
-  /** Takes ownership of `res`; closed at once where closing has begun. */
+  /** Takes ownership of `res`; closes it immediately if closing has started. */
   own<T>(name: string, res: T, close: Close<T>): T {
     const owned = { name, close: () => close(res) };
     if (this.isClosed) {
@@ -35,7 +35,7 @@
     return res;
   }
 
-  /** Closes all that is owned, the newest first; further calls give the same promise. */
+  /** Closes all owned resources, the newest first; further calls return the same promise. */
   close(): Promise<void> {
     this.closing ??= this.closeAll();
     return this.closing;
--- a/src/runtime/logger.ts
+++ b/src/runtime/logger.ts
@@ -1,16 +1,16 @@
 /**
- * Structured logs: one JSON object a line, one line for each change of state. The library's core is
- * enough: its reporters for terminals are not used, and each start would pay for them.
+ * Structured logs: one JSON object per line, one line per state change. Only the library's core is
+ * loaded: its terminal reporters are not used and would slow down every start.
  */
 import { createConsola, type ConsolaReporter, type LogType } from 'consola/core';
 
-/** Least severe level that is written. */
+/** Minimum severity that is written. */
 export type LogLevelName = 'error' | 'warn' | 'info' | 'debug';
 
-/** Details of a line; values must not contain secrets. */
+/** Fields of a line; values must not contain secrets. */
 export type LogFields = Readonly<Record<string, unknown>>;
 
-/** Writes lines. `event` names the change of state in lower-case words joined by `-`. */
+/** Writes log lines. `event` names the state change in lower-case words joined by `-`. */
 export interface Logger {
   error(event: string, fields?: LogFields): void;
   warn(event: string, fields?: LogFields): void;
@@ -18,7 +18,7 @@
   debug(event: string, fields?: LogFields): void;
 }
 
-/** Takes finished lines, each with its line end. */
+/** Receives formatted lines, each with its line terminator. */
 export interface LineSink {
   write(line: string): unknown;
 }
@@ -30,7 +30,7 @@
   debug: 4,
 };
 
-/** A logger that writes JSON lines to `sink`, with `base` members on every line. */
+/** Creates a logger that writes JSON lines to `sink`, with the `base` fields on every line. */
 export function createLogger(
   level: LogLevelName,
   base: LogFields = {},
@@ -39,7 +39,7 @@
   const consola = createConsola({
     level: CONSOLA_LEVELS[level],
     reporters: [jsonReporter(base, sink)],
-    // Every line counts: a repeated line is never folded into the one before.
+    // Repeated lines must not be merged with the preceding one.
     throttle: 0,
   });
   const write = (type: Extract<LogType, LogLevelName>): Logger['info'] => {
--- a/src/runtime/metrics.ts
+++ b/src/runtime/metrics.ts
@@ -1,6 +1,7 @@
 /**
- * Counters, gauges and histograms of one node, in Prometheus text format. The library's single modules
- * are loaded: all of it loads TLS, clusters and a tracing API, which each start would pay for.
+ * Counters, gauges and histograms of one node, in Prometheus text format. Imports the library's modules
+ * individually: its main entry point also loads TLS, cluster support and a tracing API, which would slow
+ * down every start.
  */
 import Counter from 'prom-client/lib/counter.js';
 import Gauge from 'prom-client/lib/gauge.js';
@@ -8,13 +9,13 @@
 import Registry from 'prom-client/lib/registry.js';
 import type { CounterSink } from '../control/control-event.js';
 
-/** One value of a gauge that has labels. */
+/** One value of a labelled gauge. */
 export interface LabelledValue {
   readonly labels: Readonly<Record<string, string>>;
   readonly value: number;
 }
 
-/** Takes measurements. */
+/** Records observed values. */
 export interface Observer {
   observe(value: number): void;
 }
@@ -24,10 +25,10 @@
   0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10,
 ];
 
-/** The metrics of one node; each has a registry of its own, so that nodes can share a process. */
+/** The metrics of one node. Each instance has its own registry, so that nodes can share a process. */
 export class Metrics implements CounterSink {
   private readonly registry = new Registry();
-  /** Counts by name. They reach the library only when the text is asked for: requests count often. */
+  /** Counts by name, copied to the library only when the metrics are read, since requests count often. */
   private readonly totals = new Map<string, number>();
 
   /** Content type of {@link text}. */
@@ -35,7 +36,7 @@
     return this.registry.contentType;
   }
 
-  /** Adds to the counter `name`, which is made at its first use. */
+  /** Adds to the counter `name`, which is created on first use. */
   add(name: string, by = 1): void {
     const total = this.totals.get(name);
     if (total === undefined) {
@@ -44,7 +45,7 @@
     this.totals.set(name, (total ?? 0) + by);
   }
 
-  /** Makes a counter known at 0, so that it is in the text before its first event. */
+  /** Creates a counter at 0, so that it is exported before its first event. */
   declareCounter(name: string, help = name.replaceAll('_', ' ')): void {
     if (this.totals.has(name)) {
       return;
@@ -61,12 +62,12 @@
     });
   }
 
-  /** All counters, for the status API. */
+  /** All counter values by name. */
   counterTotals(): ReadonlyMap<string, number> {
     return this.totals;
   }
 
-  /** A gauge whose value is read whenever the text is asked for. */
+  /** Creates a gauge whose value is read whenever the metrics are exported. */
   gauge(name: string, help: string, read: () => number): void {
     const gauge: Gauge = new Gauge({
       name,
@@ -76,7 +77,7 @@
     });
   }
 
-  /** A gauge with labels; `read` gives all its values whenever the text is asked for. */
+  /** Creates a gauge with labels; `read` returns all its values whenever the metrics are exported. */
   labelledGauge(
     name: string,
     help: string,
@@ -97,7 +98,7 @@
     });
   }
 
-  /** A histogram; durations are in seconds and their names end in `_seconds`. */
+  /** Creates a histogram; durations are in seconds and their names end in `_seconds`. */
   histogram(
     name: string,
     help: string,
@@ -111,7 +112,7 @@
     });
   }
 
-  /** Everything, in Prometheus text format. */
+  /** All metrics in Prometheus text format. */
   text(): Promise<string> {
     return this.registry.metrics();
   }
--- a/src/runtime/node-status.ts
+++ b/src/runtime/node-status.ts
@@ -1,14 +1,14 @@
-/** Composes the status page of a node from what its parts know. */
+/** Composes the status report of a node from the state of its components. */
 import type { ControlPlane } from '../control/control-plane.js';
 import type { EndpointStateReport } from '../proxy/endpoint-states.js';
 import type { MemberReport, NodeStatus } from '../api/node-status.js';
 import { compareVersions } from '../model/version.js';
 import { DOCUMENT_NAMES, type HeldVersions, type MemberUpdate } from '../wire/message.js';
 
-/** Parts that know something of a node's state. */
+/** Sources of a node's status. */
 export interface StatusParts {
   readonly plane: ControlPlane;
-  /** Time on the clock that drives the plane, in milliseconds. */
+  /** Time on the clock that drives the control plane, in milliseconds. */
   readonly now: () => number;
   readonly startedAtMs: number;
   /** Whether this node holds a reader lease. */
@@ -16,7 +16,6 @@
   readonly endpoints: () => readonly EndpointStateReport[];
 }
 
-/** The status of now. */
 export function composeNodeStatus(parts: StatusParts): NodeStatus {
   const { plane } = parts;
   const now = parts.now();
@@ -28,7 +27,7 @@
     source: {
       isReader: parts.isReader(),
       isStale: status.sourceEvidence.isStale,
-      ...sinceMember('sinceLastAnswerMs', now, status.sourceEvidence.lastAnswerAtMs),
+      ...elapsedField('sinceLastAnswerMs', now, status.sourceEvidence.lastAnswerAtMs),
       ...(status.rejectedSource && { rejected: status.rejectedSource }),
     },
     suspended: status.suspended,
@@ -36,8 +35,8 @@
     endpoints: parts.endpoints(),
     convergence: {
       neighbours: status.neighbours.length,
-      neighboursAtHeldVersions: countAt(status.held, status.neighbourVersions),
-      ...sinceMember('sinceLastChangeMs', now, status.sourceAdoptedAtMs),
+      neighboursAtHeldVersions: countHolding(status.held, status.neighbourVersions),
+      ...elapsedField('sinceLastChangeMs', now, status.sourceAdoptedAtMs),
     },
   };
 }
@@ -50,14 +49,14 @@
   return held === undefined ? update : { ...update, held };
 }
 
-/** Neighbours known to hold exactly `held`. */
-function countAt(held: HeldVersions, versions: ReadonlyMap<string, HeldVersions>): number {
+/** Number of neighbours known to hold exactly `held`. */
+function countHolding(held: HeldVersions, versions: ReadonlyMap<string, HeldVersions>): number {
   const isSame = (other: HeldVersions): boolean =>
     DOCUMENT_NAMES.every((name) => compareVersions(held[name], other[name]) === 0);
   return [...versions.values()].filter(isSame).length;
 }
 
-function sinceMember<Name extends string>(
+function elapsedField<Name extends string>(
   name: Name,
   now: number,
   at: number | undefined,
--- a/src/runtime/node.ts
+++ b/src/runtime/node.ts
@@ -1,6 +1,6 @@
 /**
- * One node: control plane, request path and admin listener, opened from settings and stopped in
- * order. The same program runs on every machine.
+ * One node: control plane, request path and admin listener, opened from settings and stopped in a
+ * defined order. The same program runs on every machine.
  */
 import { randomUUID } from 'node:crypto';
 import type http from 'node:http';
@@ -31,7 +31,7 @@
 import { Metrics } from './metrics.js';
 import { composeNodeStatus } from './node-status.js';
 
-/** Opens a node; rejects, with everything closed again, when a listener can not be opened. */
+/** Opens a node. If a listener cannot be opened, closes everything again and rejects. */
 export async function runNode(settings: Settings): Promise<RunningNode> {
   const node = new Node(settings);
   try {
@@ -45,7 +45,7 @@
 
 class Node implements RunningNode {
   readonly stopped: Promise<void>;
-  /** Start of this process in milliseconds since 1970: it tells restarts of one machine apart. */
+  /** Start of this process in milliseconds since 1970; distinguishes restarts on one machine. */
   private readonly incarnation = Date.now();
   private readonly logger: Logger;
   private readonly metrics = new Metrics();
@@ -59,14 +59,14 @@
   private reader: SourceReader | undefined;
   private admin: AdminServer | undefined;
   private stopping: Promise<void> | undefined;
-  private markStopped: () => void = () => undefined;
+  private resolveStopped: () => void = () => undefined;
 
   constructor(private readonly settings: Settings) {
     this.logger = createLogger(settings.log.level, { machine: settings.machine.id });
     this.containment = this.createContainment();
     declareTransportCounters((name, help) => this.metrics.declareCounter(name, help));
     this.stopped = new Promise((resolve) => {
-      this.markStopped = resolve;
+      this.resolveStopped = resolve;
     });
   }
 
@@ -79,7 +79,7 @@
     };
   }
 
-  /** Opens the listeners, the relay port first: peers are told of it when they are met. */
+  /** Opens the listeners, the relay port first, because the identity sent to peers contains it. */
   async open(): Promise<void> {
     const { settings } = this;
     const proxy = this.createProxy();
@@ -99,22 +99,22 @@
     this.proxy?.abort();
     this.control?.abort();
     this.admin?.abort();
-    this.markStopped();
+    this.resolveStopped();
   }
 
   /**
-   * The fleet is told first, so that no new work comes while the request path drains; the control
-   * port closes last, so that what is in flight is served under a current view of the fleet.
+   * Notifies the fleet first, so that no new work arrives while the request path drains. Closes the
+   * control port after that, so that in-flight requests are served with a current view of the fleet.
    */
   private async stopInOrder(): Promise<void> {
     await this.control?.announceStop();
     await this.proxy?.stop();
     await this.control?.stop();
     await this.admin?.stop();
-    this.markStopped();
+    this.resolveStopped();
   }
 
-  /** Before the servers listen the identity has no relay port; nothing is sent before that. */
+  /** The identity has no relay port until the relay server listens; it is not sent to peers before that. */
   private identity(): PeerIdentity {
     const { machine, ports } = this.settings;
     return {
@@ -135,7 +135,7 @@
       callerHeader: NATIVE_CALLER_PROTOCOL.callerHeader,
       nowMs: this.now,
       counters: this.metrics,
-      logStateChange: (what, detail) => this.logger.warn(what, { detail }),
+      logStateChange: (event, detail) => this.logger.warn(event, { detail }),
     });
     declareContainmentMetrics(this.metrics, containment);
     return containment;
@@ -161,7 +161,7 @@
       containment: this.containment,
       claims: new ControlPlaneClaims((event) => this.control?.offer(event) ?? false),
       fleetKey: Buffer.from(this.settings.fleetKey, 'utf8'),
-      logStateChange: (what, detail) => this.logger.info(what, { detail }),
+      logStateChange: (event, detail) => this.logger.info(event, { detail }),
     });
   }
 
@@ -175,7 +175,7 @@
       overlay: settings.overlay,
       platform: settings.platform && new PlatformClient({ ...settings.platform, now: this.now }),
       components: [
-        (documents, electorate) => this.keepReader(documents, electorate),
+        (documents, electorate) => this.createSourceReader(documents, electorate),
         (documents, fleet) => createReplica(settings, this.metrics, documents, fleet),
         (_documents, fleet) => createClaims(settings, this.metrics, fleet),
         () => new SuspicionFlood(this.containment, (event) => this.control?.offer(event)),
@@ -184,11 +184,11 @@
       random: Math.random,
       now: this.now,
       onSnapshot: (snapshot) => this.adopt(snapshot),
-      onStateChange: (what, detail) => this.logger.info(what, { detail }),
+      onStateChange: (event, detail) => this.logger.info(event, { detail }),
     });
   }
 
-  private keepReader(documents: DocumentSink, electorate: ElectorateView): SourceReader {
+  private createSourceReader(documents: DocumentSink, electorate: ElectorateView): SourceReader {
     this.reader = createReader(this.settings, this.metrics, documents, electorate);
     return this.reader;
   }
@@ -232,7 +232,7 @@
     return () => this.listeners.delete(listener);
   }
 
-  /** Undefined before the first configuration, so that callers are refused rather than misrouted. */
+  /** Undefined before the first configuration, so that requests are refused rather than misrouted. */
   private servedSnapshot(): Snapshot | undefined {
     const { version, resources } = this.snapshot;
     return version.source.number === 0 && resources.size === 0 ? undefined : this.snapshot;
--- a/src/runtime/readiness-server.ts
+++ b/src/runtime/readiness-server.ts
@@ -1,10 +1,10 @@
-/** Tells whoever asks whether this node takes new work. */
+/** HTTP readiness check: reports whether this node accepts new work. */
 import http from 'node:http';
 
 const READY_STATUS = 200;
 const NOT_READY_STATUS = 503;
 
-/** Makes the server, which answers any request; the caller listens on it. */
+/** Creates the server, which answers every request; the caller listens on it. */
 export function createReadinessServer(isReady: () => boolean): http.Server {
   return http.createServer((request, response) => {
     request.resume();
--- a/src/runtime/replica-source.ts
+++ b/src/runtime/replica-source.ts
@@ -1,6 +1,6 @@
 /**
  * Keeps a node's replica of the store up to date, from the store itself or from the feed of another
- * node, and feeds the nodes that follow this one. {@link SourceChoice} decides; this carries it out.
+ * node, and serves the feed to the nodes that follow this one. Executes the decisions of {@link SourceChoice}.
  */
 import { MACHINE_CLOCK } from '../clock/machine-clock.js';
 import type { CounterSink, RandomSource } from '../control/control-event.js';
@@ -20,28 +20,28 @@
 import type { Logger } from './logger.js';
 
 /**
- * Longest time that a watch of the store waits, in milliseconds. Each answer confirms the replica of a
- * reader and of all that follow it, so it bounds how late the loss of a reader shows.
+ * Longest time that a watch of the store waits for a change, in milliseconds. Each answer confirms the
+ * replica of a reader and of all its followers, so this bounds the delay until a lost reader is detected.
  */
 const WATCH_WAIT_MS = 600;
 
 /**
- * Time after which followers are told again what they know while this node is receiving, in milliseconds: beyond a
- * usual round, and before they take the feed for silent. Without it 28 of 74 nodes left readers that were
- * receiving a large configuration from the store.
+ * Interval of keep-alive messages to followers while this node is receiving data, in milliseconds. It is
+ * longer than a usual watch of the store and shorter than the time after which followers treat the feed as
+ * unresponsive. Without keep-alives, 28 of 74 nodes left readers that were receiving a large configuration
+ * from the store.
  */
 const KEEP_ALIVE_MS = 800;
 
-/** By which way changes came: from the store, over the feed of a peer, or as a peer was asked for them. */
+/** Origin of a change: the store, the feed of a peer, or a fetch from a peer. */
 export interface ChangeOrigin {
   readonly path: 'store' | 'feed' | 'fetch';
-  /** The peer; undefined where the store told. */
+  /** The peer; undefined for changes from the store. */
   readonly peer?: string;
 }
 
 export const FROM_STORE: ChangeOrigin = { path: 'store' };
 
-/** What a source needs of its node. */
 export interface ReplicaSourceOptions {
   /** This machine. */
   readonly machine: ReaderCandidate;
@@ -49,52 +49,56 @@
   readonly feedPort: number;
   readonly store: KeyValueStore;
   readonly replica: StoreReplica;
-  /** The replica's deltas, as followers are told them. */
+  /** Serialized deltas of the replica, as sent to followers. */
   readonly deltas: DeltaTexts;
   readonly random: RandomSource;
   readonly logger: Logger;
   readonly counters: CounterSink;
-  /** The replica was confirmed; `hasChanged` when an item changed. */
-  readonly onLearned: (hasChanged: boolean, origin: ChangeOrigin) => void;
-  /** The store told items that can't be taken. */
+  /** Called when the replica is confirmed; `hasChanged` is true if an item changed. */
+  readonly onUpdated: (hasChanged: boolean, origin: ChangeOrigin) => void;
+  /** Called with items of the store that are invalid. */
   readonly onRefused: (items: readonly RefusedItem[]) => void;
 }
 
-/** The sources of one node. */
+/** Reads the store or follows a feed, for one node. */
 export class ReplicaSource {
   readonly feed: ChangeFeed;
-  private readonly choice: SourceChoice;
-  private readonly order: ReaderOrder;
+  private readonly sourceChoice: SourceChoice;
+  private readonly readerOrder: ReaderOrder;
   private readonly follower: StoreFollower;
   private readonly client: FeedClient;
   private readonly lifeCycle: LifeCycle;
   private isStoreAnswering = false;
-  private toldAtMs = -Infinity;
-  /** The next feed is to begin with the whole state: a patch did not fit. */
-  private needsWhole = false;
+  private lastPublishedAtMs = -Infinity;
+  /** Whether the next feed must start with the full state, because a patch did not apply. */
+  private needsFullState = false;
 
   constructor(private readonly options: ReplicaSourceOptions) {
     const { machine, replica, deltas, random, logger } = options;
     this.lifeCycle = new LifeCycle((name, err) => {
       logger.warn('close-failed', { name, reason: String(err) });
     });
-    this.choice = new SourceChoice(machine.address, random, Date.now());
-    this.order = new ReaderOrder(machine);
-    const freshness = () => this.choice.freshness(MACHINE_CLOCK.now());
+    this.sourceChoice = new SourceChoice(machine.address, random, Date.now());
+    this.readerOrder = new ReaderOrder(machine);
+    const freshness = () => this.sourceChoice.freshness(MACHINE_CLOCK.now());
     const feed = new ChangeFeed({ replica, deltas, freshness });
-    this.feed = this.lifeCycle.own('feed', feed, (one) => one.close());
-    this.client = this.lifeCycle.own('feed client', this.createClient(), (one) => one.close());
-    this.follower = this.lifeCycle.own('store', this.createFollower(), (one) => one.close());
+    this.feed = this.lifeCycle.own('feed', feed, (owned) => owned.close());
+    this.client = this.lifeCycle.own('feed client', this.createClient(), (client) =>
+      client.close(),
+    );
+    this.follower = this.lifeCycle.own('store', this.createFollower(), (follower) =>
+      follower.close(),
+    );
   }
 
-  /** Begins to read. */
+  /** Starts reading. */
   start(): void {
     this.follower.start();
   }
 
-  /** To be called several times a second. */
+  /** Must be called several times a second. */
   tick(): void {
-    this.execute(this.choice.tick(MACHINE_CLOCK.now()));
+    this.execute(this.sourceChoice.tick(MACHINE_CLOCK.now()));
   }
 
   close(): Promise<void> {
@@ -103,7 +107,7 @@
 
   /** Whether this node reads the store. */
   get isReading(): boolean {
-    return this.choice.reads;
+    return this.sourceChoice.reads;
   }
 
   /** Whether the last call to the store was answered. */
@@ -111,24 +115,24 @@
     return this.isStoreAnswering;
   }
 
-  /** Bytes that came over feeds so far. */
+  /** Total bytes received over feeds. */
   get feedBytes(): number {
     return this.client.totalBytes;
   }
 
   /** Time since a reader confirmed the replica, in milliseconds; Infinity before the first time. */
   get ageMs(): number {
-    return this.choice.freshness(MACHINE_CLOCK.now()).ageMs;
+    return this.sourceChoice.freshness(MACHINE_CLOCK.now()).ageMs;
   }
 
-  /** Takes all machines that the endpoints name. */
+  /** Sets the machines of all endpoints. */
   setMachines(machines: Iterable<ReaderCandidate>): void {
-    this.choice.setPlace(this.order.placeAmong(machines));
+    this.sourceChoice.setPlace(this.readerOrder.placeAmong(machines));
   }
 
-  /** A peer told how old its replica is. */
-  peerHeard(peer: string, ageMs: number): void {
-    this.choice.peerHeard(peer, ageMs, MACHINE_CLOCK.now());
+  /** Records the replica age that a peer reported. */
+  peerAgeReported(peer: string, ageMs: number): void {
+    this.sourceChoice.peerHeard(peer, ageMs, MACHINE_CLOCK.now());
   }
 
   private createFollower(): StoreFollower {
@@ -140,12 +144,12 @@
       watchWaitMs: WATCH_WAIT_MS,
       onLearned: (hasChanged) => {
         this.isStoreAnswering = true;
-        this.choice.storeAnswered(MACHINE_CLOCK.now());
-        this.learned(hasChanged, FROM_STORE);
+        this.sourceChoice.storeAnswered(MACHINE_CLOCK.now());
+        this.replicaUpdated(hasChanged, FROM_STORE);
       },
       onProgress: () => this.keepAlive(),
       onRefused,
-      onFailed: () => this.execute(this.choice.storeFailed(MACHINE_CLOCK.now())),
+      onFailed: () => this.execute(this.sourceChoice.storeFailed(MACHINE_CLOCK.now())),
       onConnection: (isConnected, reason) => {
         this.isStoreAnswering = isConnected;
         logger.info(isConnected ? 'store-regained' : 'store-lost', { reason });
@@ -157,19 +161,19 @@
     const { feedPort, logger } = this.options;
     return new FeedClient({
       port: feedPort,
-      onMessage: (peer, message) => this.takeFeed(peer, message),
+      onMessage: (peer, message) => this.handleFeedMessage(peer, message),
       onProgress: (peer, isPartial) => {
-        this.choice.feedProgressed(peer, isPartial, MACHINE_CLOCK.now());
+        this.sourceChoice.feedProgressed(peer, isPartial, MACHINE_CLOCK.now());
         this.keepAlive();
       },
       onEnd: (peer, reason) => {
         logger.info('feed-ended', { peer, reason, partialBytes: this.client.partialBytes });
-        this.choice.feedEnded(peer, MACHINE_CLOCK.now());
+        this.sourceChoice.feedEnded(peer, MACHINE_CLOCK.now());
       },
     });
   }
 
-  private takeFeed(peer: string, message: FeedMessage): void {
+  private handleFeedMessage(peer: string, message: FeedMessage): void {
     const { replica, logger } = this.options;
     const delta = message.delta && resolveFeedDelta(replica, message.delta);
     if (message.delta !== undefined && delta === undefined) {
@@ -177,37 +181,37 @@
         peer,
         revision: revisionInEra(replica.revision),
       });
-      this.needsWhole = true;
+      this.needsFullState = true;
       this.client.close();
-      this.choice.feedEnded(peer, MACHINE_CLOCK.now());
+      this.sourceChoice.feedEnded(peer, MACHINE_CLOCK.now());
       return;
     }
     const { revision } = replica;
     const hasChanged = delta !== undefined && replica.takeDelta(delta);
-    const isConfirmed = this.choice.feedHeard(peer, message, MACHINE_CLOCK.now());
+    const isConfirmed = this.sourceChoice.feedHeard(peer, message, MACHINE_CLOCK.now());
     if (isConfirmed || hasChanged || replica.revision > revision) {
-      this.learned(hasChanged, { path: 'feed', peer });
+      this.replicaUpdated(hasChanged, { path: 'feed', peer });
     }
   }
 
-  /** Followers are told first: what this node makes of a change takes longer. */
-  private learned(hasChanged: boolean, origin: ChangeOrigin): void {
-    this.tellFollowers();
-    this.options.onLearned(hasChanged, origin);
+  /** Publishes to followers first, because applying a change on this node takes longer. */
+  private replicaUpdated(hasChanged: boolean, origin: ChangeOrigin): void {
+    this.publishToFollowers();
+    this.options.onUpdated(hasChanged, origin);
   }
 
   /**
-   * Something arrived, whole or not: followers are not to take this node for dead meanwhile. What they are told
-   * confirms nothing anew, so their state grows old all the same.
+   * Called when any data arrives, complete or partial, so that followers do not treat this node as
+   * unresponsive during a transfer. A keep-alive does not confirm the state, so its age keeps growing.
    */
   private keepAlive(): void {
-    if (MACHINE_CLOCK.now() - this.toldAtMs >= KEEP_ALIVE_MS) {
-      this.tellFollowers();
+    if (MACHINE_CLOCK.now() - this.lastPublishedAtMs >= KEEP_ALIVE_MS) {
+      this.publishToFollowers();
     }
   }
 
-  private tellFollowers(): void {
-    this.toldAtMs = MACHINE_CLOCK.now();
+  private publishToFollowers(): void {
+    this.lastPublishedAtMs = MACHINE_CLOCK.now();
     this.feed.publish();
   }
 
@@ -245,8 +249,8 @@
 
   private openFeed(peer: string): void {
     this.options.logger.info('feed-opened', { peer });
-    this.client.open(peer, this.needsWhole ? 0 : this.options.replica.revision);
-    this.needsWhole = false;
+    this.client.open(peer, this.needsFullState ? 0 : this.options.replica.revision);
+    this.needsFullState = false;
   }
 
   private setReading(isReading: boolean): void {
--- a/src/runtime/store-node-settings.ts
+++ b/src/runtime/store-node-settings.ts
@@ -1,8 +1,8 @@
-/** Settings of a node that follows a key-value store; an adapter reads them. */
+/** Settings of a node that replicates a key-value store; an adapter reads them. */
 
 /** An address to listen on or to connect to. */
 export interface SocketAddress {
-  /** IP number. */
+  /** IP address. */
   readonly address: string;
   readonly port: number;
 }
@@ -10,27 +10,27 @@
 /** Settings of one node. */
 export interface StoreNodeSettings {
   readonly machine: {
-    /** For the log. */
+    /** Name used in log lines. */
     readonly name: string;
-    /** IP number; it is the machine's identity. */
+    /** IP address, which identifies the machine. */
     readonly address: string;
     readonly zone: string;
     readonly region: string;
   };
-  /** Callers' requests. */
+  /** Listener for callers' requests. */
   readonly caller: SocketAddress;
-  /** Requests relayed by other nodes; the port is the same on every machine. */
+  /** Listener for requests relayed by other nodes; the port is the same on every machine. */
   readonly relay: SocketAddress;
-  /** Whether this node takes new work: 200, else 503. */
+  /** Listener for readiness checks: 200 while this node accepts new work, otherwise 503. */
   readonly readiness: SocketAddress;
-  /** Ports that are free for what nodes say to each other, the last one included. */
+  /** Range of ports for traffic between nodes, inclusive. */
   readonly internalPorts: { readonly first: number; readonly last: number };
-  /** Time that a planned stop may take, in milliseconds. */
+  /** Maximum duration of a planned stop, in milliseconds. */
   readonly drainTimeoutMs: number;
   readonly retry: {
-    /** Requests of a service that may be sent again, in percent of all, fleet-wide. */
+    /** Percentage of a service's requests that may be retried, fleet-wide. */
     readonly percent: number;
-    /** Further ones that the fleet may send again in a burst. */
+    /** Additional retries that the fleet may send in a burst. */
     readonly fleetBurst: number;
   };
 }
--- a/src/runtime/store-node.ts
+++ b/src/runtime/store-node.ts
@@ -1,7 +1,7 @@
 /**
- * A node that follows a key-value store: request path, replica of the store, readiness and metrics.
- * The store lists every endpoint with its machine, so the node needs no machine list of its own, and
- * nothing of the control plane runs here; see `docs/PLATFORM.md`.
+ * A node that replicates a key-value store: request path, replica of the store, readiness and metrics.
+ * The store lists every endpoint with its machine, so the node needs no separate machine list and does
+ * not run the control plane; see `docs/PLATFORM.md`.
  */
 import type http from 'node:http';
 import { MACHINE_CLOCK } from '../clock/machine-clock.js';
@@ -37,10 +37,10 @@
 import type { SocketAddress, StoreNodeSettings } from './store-node-settings.js';
 
 const MS_PER_SECOND = 1_000;
-/** Peers and monitoring read on this port after the first internal one, which takes datagrams. */
+/** Offset of the HTTP port for peers and monitoring from the first internal port, which receives datagrams. */
 const INTERNAL_SERVER_PORT_OFFSET = 1;
 
-/** What a node is made of besides its settings. */
+/** Settings and dependencies of a node. */
 export interface StoreNodeOptions {
   readonly settings: StoreNodeSettings;
   readonly store: KeyValueStore;
@@ -50,14 +50,13 @@
   readonly logger: Logger;
 }
 
-/** The node. */
 export class StoreNode {
   private readonly metrics = new Metrics();
   private readonly replica: StoreReplica;
   private readonly deltas: DeltaTexts;
   private readonly containment: Containment;
   private readonly builder: SnapshotBuilder;
-  private readonly refusals: RefusedItemReporter;
+  private readonly refusalReporter: RefusedItemReporter;
   private readonly source: ReplicaSource;
   private readonly proxy: RequestProxy;
   private readonly readiness: http.Server;
@@ -67,11 +66,11 @@
   /** Store era at the latest snapshot build; undefined before the first build. */
   private era: number | undefined;
   private machineCount = 1;
-  /** The zone of each machine, as peers and sources know them. */
+  /** The zone of each machine, as last passed to the peer exchange and the replica source. */
   private zones: ReadonlyMap<string, string> = new Map();
   private isStopping = false;
   private stopped: Promise<void> | undefined;
-  /** What goes on while a planned stop drains the request path. */
+  /** Resources that stay open while a planned stop drains the request path. */
   private readonly services: LifeCycle;
 
   constructor(private readonly options: StoreNodeOptions) {
@@ -81,9 +80,9 @@
     this.replica = new StoreReplica((change) => this.missingItemRetentionMs(change));
     this.deltas = new DeltaTexts(this.replica);
     this.builder = new SnapshotBuilder(options.readRecord);
-    this.refusals = this.createRefusals();
+    this.refusalReporter = this.createRefusalReporter();
     this.containment = this.createContainment();
-    this.source = this.services.own('store', this.createSource(), (one) => one.close());
+    this.source = this.services.own('store', this.createSource(), (source) => source.close());
     this.proxy = this.createProxy();
     const readiness = createReadinessServer(() => this.isReady);
     this.readiness = this.services.own('readiness', readiness, closeServer);
@@ -94,7 +93,7 @@
       suspicions: this.containment,
     });
     this.internalServer = this.services.own('internal server', internalServer, closeServer);
-    this.peers = this.services.own('peers', this.createPeers(), (one) => one.close());
+    this.peers = this.services.own('peers', this.createPeers(), (peers) => peers.close());
     declareContainmentMetrics(this.metrics, this.containment);
     declareStoreNodeMetrics(this.metrics, {
       replica: this.replica,
@@ -105,7 +104,7 @@
     });
   }
 
-  /** Opens the listeners and begins to follow the store; rejects when a listener can't be opened. */
+  /** Opens the listeners and starts replicating the store; rejects if a listener cannot be opened. */
   async open(): Promise<void> {
     const { caller, relay, readiness, machine } = this.options.settings;
     this.source.start();
@@ -116,25 +115,25 @@
     await this.peers.open();
     this.services.own(
       'looks',
-      PERIODIC_CHECKS.add(() => this.look()),
+      PERIODIC_CHECKS.add(() => this.runPeriodicChecks()),
       (end) => end(),
     );
   }
 
-  /** Planned stop: says that it is not ready, goes on serving, and finishes what is in flight. */
+  /** Planned stop: reports not ready, keeps serving, and completes in-flight requests. */
   stop(): Promise<void> {
     this.stopped ??= this.stopInOrder();
     return this.stopped;
   }
 
-  /** Stop at once: connections are cut. */
+  /** Stops immediately and closes all connections. */
   abort(): void {
     this.isStopping = true;
     this.proxy.abort();
     void this.services.close();
   }
 
-  private look(): void {
+  private runPeriodicChecks(): void {
     this.source.tick();
     this.expireCarried();
     this.peers.tick();
@@ -158,15 +157,15 @@
   private createContainment(): Containment {
     const { settings, callerProtocol, logger } = this.options;
     return new Containment({
-      nodeName: nameOfLife(settings.machine.address),
+      nodeName: uniqueInstanceName(settings.machine.address),
       callerHeader: callerProtocol.callerHeader,
       nowMs: () => MACHINE_CLOCK.now(),
       counters: this.metrics,
-      logStateChange: (what, detail) => logger.warn(what, { detail }),
+      logStateChange: (event, detail) => logger.warn(event, { detail }),
     });
   }
 
-  private createRefusals(): RefusedItemReporter {
+  private createRefusalReporter(): RefusedItemReporter {
     this.metrics.declareCounter(REFUSED_ITEMS_COUNTER, 'Items of the store that are not valid');
     const { logger } = this.options;
     return new RefusedItemReporter({
@@ -185,14 +184,14 @@
       containment: this.containment,
       random: Math.random,
       ageMs: () => this.source.ageMs,
-      onAge: (peer, ageMs) => this.source.peerHeard(peer, ageMs),
+      onAge: (peer, ageMs) => this.source.peerAgeReported(peer, ageMs),
       awaited: () => this.awaitedPeers(),
       onLearned: (from) => {
         logger.info('changes-from-peer', { from, ...this.revisionFields });
         this.source.feed.publish();
-        this.takeLearned(true, { path: 'fetch', peer: from });
+        this.handleReplicaUpdate(true, { path: 'fetch', peer: from });
       },
-      onSilence: (peer, isSilent) => this.takeSilence(peer, isSilent),
+      onSilence: (peer, isSilent) => this.handlePeerSilence(peer, isSilent),
     });
   }
 
@@ -202,9 +201,9 @@
     }
   }
 
-  private takeSilence(peer: string, isSilent: boolean): void {
-    this.options.logger.info(isSilent ? 'peer-silent' : 'peer-heard-again', { peer });
-    if (isSilent) {
+  private handlePeerSilence(peer: string, isUnresponsive: boolean): void {
+    this.options.logger.info(isUnresponsive ? 'peer-silent' : 'peer-heard-again', { peer });
+    if (isUnresponsive) {
       this.proxy.machineUnresponsive(peer);
     }
   }
@@ -221,8 +220,8 @@
       random: Math.random,
       logger,
       counters: this.metrics,
-      onLearned: (hasChanged, origin) => this.takeLearned(hasChanged, origin),
-      onRefused: (items) => this.refusals.report(items),
+      onUpdated: (hasChanged, origin) => this.handleReplicaUpdate(hasChanged, origin),
+      onRefused: (items) => this.refusalReporter.report(items),
     });
   }
 
@@ -252,41 +251,53 @@
       limits: storeNodeLimits(settings),
       callerProtocol,
       endpointProtocol,
-      logStateChange: (what, detail) => logger.info(what, { detail }),
+      logStateChange: (event, detail) => logger.info(event, { detail }),
       requestLog: new RequestLogger(logger),
-      onRequestMs: this.timer('request', 'Time from the arrival of a request to its end'),
-      onEndpointMs: this.timer('endpoint', 'Time that the endpoint here took for a whole answer'),
-      onBodyMs: this.timer(
+      onRequestMs: this.durationObserver(
+        'request',
+        'Time from the arrival of a request to its end',
+      ),
+      onEndpointMs: this.durationObserver(
+        'endpoint',
+        'Time that the endpoint here took for a whole answer',
+      ),
+      onBodyMs: this.durationObserver(
         'relay_body',
         'Time from the head of a relayed request to its whole body',
       ),
-      onFailureMs: this.timer(
+      onFailureMs: this.durationObserver(
         'failure',
         'Time for which requests were held that were told an error',
       ),
-      onTravelLostMs: this.timer(
+      onTravelLostMs: this.durationObserver(
         'relay_travel',
         'Time that relayed requests lost on their way here',
       ),
-      onRelayConnectMs: this.timer('relay_connect', 'Time that connections to peers took'),
-      onEventLoopLagMs: this.timer('event_loop_delay', 'How late the event loop ran a timer'),
+      onRelayConnectMs: this.durationObserver(
+        'relay_connect',
+        'Time that connections to peers took',
+      ),
+      onEventLoopLagMs: this.durationObserver(
+        'event_loop_delay',
+        'How late the event loop ran a timer',
+      ),
     });
   }
 
-  /** Takes durations in milliseconds into a histogram. */
-  private timer(what: string, help: string): (ms: number) => void {
-    const histogram = this.metrics.histogram(`ferryspool_${what}_seconds`, help);
+  /** Creates a histogram and returns a function that records a duration in milliseconds. */
+  private durationObserver(name: string, help: string): (ms: number) => void {
+    const histogram = this.metrics.histogram(`ferryspool_${name}_seconds`, help);
     return (ms) => histogram.observe(ms / MS_PER_SECOND);
   }
 
-  private takeLearned(hasChanged: boolean, origin: ChangeOrigin): void {
+  private handleReplicaUpdate(hasChanged: boolean, origin: ChangeOrigin): void {
     if (!hasChanged && this.snapshot !== undefined) {
       return;
     }
     const { replica } = this;
     this.logEraChange(origin);
     const { snapshot, refused } = this.builder.build(replica.items(), replica.carriedChanges);
-    this.refusals.report(refused);
+    this.refusalReporter.report(refused);
     if (snapshot !== undefined) {
       this.adopt(snapshot, origin);
     }
@@ -314,7 +325,7 @@
 
   private expireCarried(): void {
     if (this.replica.expireCarried(MACHINE_CLOCK.now())) {
-      this.takeLearned(true, FROM_STORE);
+      this.handleReplicaUpdate(true, FROM_STORE);
     }
   }
 
@@ -323,7 +334,7 @@
     return kind === 'endpoint' ? MISSING_ENDPOINT_RETENTION_MS : REWRITE_PERIOD_MS;
   }
 
-  /** Most changes of endpoints are of their state: the machines stay, and with them all orders of them. */
+  /** Most endpoint changes affect only their state; the machines and every order derived from them are kept. */
   private adoptMachines(zones: ReadonlyMap<string, string>): void {
     if (hasSameEntries(zones, this.zones)) {
       return;
@@ -335,17 +346,17 @@
   }
 
   private adopt(snapshot: Snapshot, origin: ChangeOrigin): void {
-    const held = this.snapshot;
-    const before = held?.version.source.number;
+    const previous = this.snapshot;
+    const before = previous?.version.source.number;
     const { number } = snapshot.version.source;
     this.snapshot = snapshot;
-    if (!hasSameEndpoints(snapshot, held)) {
+    if (!hasSameEndpoints(snapshot, previous)) {
       this.adoptMachines(machinesOf(snapshot));
       this.proxy.applyEndpoints();
     }
-    const evacuatedBefore = held?.evacuatedZones ?? new Set<string>();
+    const previousZones = previous?.evacuatedZones ?? new Set<string>();
     const behindMs = Math.round(this.peers.behindMs);
-    for (const { kind, zone } of evacuationChanges(snapshot.evacuatedZones, evacuatedBefore)) {
+    for (const { kind, zone } of evacuationChanges(snapshot.evacuatedZones, previousZones)) {
       this.options.logger.info(kind, { zone, ...this.revisionFields, ...origin, behindMs });
     }
     this.proxy.applyCallerLimits(snapshot.callerLimits);
@@ -361,8 +372,8 @@
   }
 }
 
-/** A name that no other node has, nor this one after a start, without loading cryptography. */
-function nameOfLife(address: string): string {
+/** A name that differs from those of other nodes and of restarts of this node, without loading cryptography. */
+function uniqueInstanceName(address: string): string {
   return `${address} ${Date.now()} ${Math.random()}`;
 }
 
--- a/test/api/admin-server.test.ts
+++ b/test/api/admin-server.test.ts
@@ -53,14 +53,14 @@
       expect(headers.etag).to.equal(`"${String(body['version'])}"`);
     });
 
-    it('shows secrets without values, in lists and by name', async () => {
+    it('returns secrets without values, in lists and by name', async () => {
       for (const path of ['/v1/secrets', '/v1/secrets/stamp']) {
         const { text } = await call(api, 'GET', path, AUTHORIZED);
         expect(text).to.contain('"stamp"').and.not.to.contain(SECRET_VALUE);
       }
     });
 
-    it('shows status with the refused source version and its reason', async () => {
+    it('returns a status with the rejected source version and the reason', async () => {
       const { body } = await call(api, 'GET', '/v1/status', AUTHORIZED);
       expect(body).to.have.nested.property('source.rejected.reason', 'route/r: dangling');
       expect(body['cursor']).to.match(/^4\./);
@@ -68,7 +68,7 @@
       expect(body).to.have.nested.property('members[0].held.source.number', 4);
     });
 
-    it('shows no digest of a document that has secrets, as it would let guesses be tested', async () => {
+    it('returns no digest of a document that has secrets, against which guesses could be tested', async () => {
       const digest = api.view.current().version.source.digest;
       for (const path of ['/v1/status', '/v1/secrets', '/metrics']) {
         const { text } = await call(api, 'GET', path, AUTHORIZED);
@@ -76,7 +76,7 @@
       }
     });
 
-    it('shows metrics as Prometheus text, without secrets', async () => {
+    it('returns metrics as Prometheus text, without secrets', async () => {
       const { text, headers } = await call(api, 'GET', '/metrics', AUTHORIZED);
       expect(headers['content-type']).to.match(/^text\/plain; version=0\.0\.4/);
       expect(text)
@@ -93,7 +93,7 @@
     const put = (headers: Record<string, string>) =>
       call(api, 'PUT', '/v1/services/maps', headers, '{"spec":{"requestTimeoutMs":7}}');
 
-    it('hands over resource and precondition, and answers with the new version', async () => {
+    it('submits resource and precondition, and answers with the new version', async () => {
       const { status, body, headers } = await put(CREATE);
       const resource = serviceOf('maps', 7);
       expect(status).to.equal(200);
@@ -121,32 +121,32 @@
 
     const faults = [{ path: 'route/all', reason: 'refers to missing service/maps' }];
     const failures: readonly {
-      what: string;
+      description: string;
       answer: () => Promise<WriteOutcome>;
       status: number;
       body: Record<string, unknown>;
       retryAfter?: string;
     }[] = [
       {
-        what: 'a conflict',
+        description: 'a conflict',
         answer: () => Promise.resolve({ outcome: 'conflict', currentVersion: 'cd' }),
         status: 412,
         body: { code: 'PRECONDITION_FAILED', verdict: 'not-run', currentVersion: 'cd' },
       },
       {
-        what: 'a resource that is gone',
+        description: 'a deleted resource',
         answer: () => Promise.resolve({ outcome: 'conflict' }),
         status: 412,
         body: { code: 'PRECONDITION_FAILED', verdict: 'not-run' },
       },
       {
-        what: 'a dangling reference',
+        description: 'a dangling reference',
         answer: () => Promise.resolve({ outcome: 'invalid', faults }),
         status: 422,
         body: { code: 'INVALID_RESOURCE', verdict: 'not-run', faults },
       },
       {
-        what: 'no majority',
+        description: 'no majority',
         answer: () =>
           Promise.resolve({ outcome: 'refused', reason: 'no majority', retryAfterMs: 1_500 }),
         status: 503,
@@ -154,26 +154,26 @@
         retryAfter: '2',
       },
       {
-        what: 'an unknown fate',
+        description: 'an unknown outcome',
         answer: () => Promise.resolve({ outcome: 'unknown', reason: 'the leader was lost' }),
         status: 504,
         body: { code: 'MAY_BE_ACCEPTED', verdict: 'may-have-run' },
       },
       {
-        what: 'a port that fails',
+        description: 'a port that fails',
         answer: () => Promise.reject(new Error('broken')),
         status: 504,
         body: { code: 'MAY_BE_ACCEPTED', verdict: 'may-have-run' },
       },
       {
-        what: 'no decision in time',
+        description: 'no decision in time',
         answer: () => new Promise(() => undefined),
         status: 504,
         body: { code: 'MAY_BE_ACCEPTED', verdict: 'may-have-run' },
       },
     ];
-    for (const { what, answer, status, body, retryAfter } of failures) {
-      it(`answers ${what} with ${status} and verdict ${String(body['verdict'])}`, async () => {
+    for (const { description, answer, status, body, retryAfter } of failures) {
+      it(`answers ${description} with ${status} and verdict ${String(body['verdict'])}`, async () => {
         api.answer = answer;
         const result = await put(CREATE);
         expect(result.status).to.equal(status);
@@ -183,7 +183,7 @@
       });
     }
 
-    it('never shows a secret that was written badly', async () => {
+    it('does not reveal a secret in a malformed write', async () => {
       const path = '/v1/secrets/stamp';
       const bodies = [`{"spec":{"value":["${SECRET_VALUE}"]}}`, `{"spec":"${SECRET_VALUE}"}`];
       for (const body of [...bodies, `{"spec":{"value":"${SECRET_VALUE}"}`]) {
@@ -194,7 +194,7 @@
     });
   });
 
-  it('without a token in the settings serves reads and refuses every write', async () => {
+  it('serves reads and refuses every write if the settings have no token', async () => {
     const open = await openApi({});
     try {
       expect((await call(open, 'GET', '/v1/services')).status).to.equal(200);
@@ -206,16 +206,16 @@
     }
   });
 
-  it('stops without cutting the request in progress', async () => {
+  it('stops without interrupting the request in progress', async () => {
     let accept: (outcome: WriteOutcome) => void = () => undefined;
-    const asked = new Promise<void>((resolve) => {
+    const submitted = new Promise<void>((resolve) => {
       api.answer = () => {
         resolve();
         return new Promise((decide) => (accept = decide));
       };
     });
     const answer = call(api, 'DELETE', '/v1/services/tiles', { ...AUTHORIZED, 'if-match': '*' });
-    await asked;
+    await submitted;
     const stopped = api.server.stop();
     accept({ outcome: 'accepted', operatorRevision: 3 });
     expect((await answer).status).to.equal(200);
--- a/test/api/api-fixture.ts
+++ b/test/api/api-fixture.ts
@@ -1,4 +1,4 @@
-/** An admin server over a configuration that the test sets, and a client for it. */
+/** An admin server with a configuration set by the test, and a client for it. */
 import { Containment } from '../../src/containment/containment.js';
 import { request, type IncomingHttpHeaders } from 'node:http';
 import { connect } from 'node:net';
@@ -25,13 +25,13 @@
 export const routeOf = (name: string, service: string): Resource =>
   resourceSchema.parse({ kind: 'route', name, spec: { pathPrefix: '/', service } });
 
-/** A snapshot under source version `number`. */
+/** A snapshot with source version `number`. */
 export function snapshotOf(number: number, resources: readonly Resource[]): Snapshot {
   const source = { number, digest: number.toString(16).padStart(32, '0') };
   return buildSnapshot({ source, operator: NO_VERSION }, resources);
 }
 
-/** A view whose snapshot the test swaps. */
+/** A view whose snapshot is set by the test. */
 export class SettableView implements ConfigurationView {
   private snapshot = buildSnapshot(NO_SNAPSHOT_VERSION, []);
   private readonly listeners = new Set<SnapshotListener>();
@@ -45,7 +45,7 @@
     return () => this.listeners.delete(listener);
   }
 
-  /** Swaps in a snapshot under source version `number`. */
+  /** Sets a snapshot with source version `number`. */
   set(number: number, ...resources: Resource[]): void {
     this.snapshot = snapshotOf(number, resources);
     this.listeners.forEach((listener) => listener(this.snapshot));
@@ -88,13 +88,13 @@
   convergence: { neighbours: 0, neighboursAtHeldVersions: 0 },
 };
 
-/** An open admin server and the parts that the test drives. */
+/** An open admin server and the parts that the test controls. */
 export interface ApiFixture {
   readonly server: AdminServer;
   readonly view: SettableView;
   readonly metrics: Metrics;
   readonly logLines: string[];
-  /** Writes that reached the port; `answer` decides on them. */
+  /** Writes submitted to the port; `answer` returns their outcomes. */
   readonly writes: WriteRequest[];
   readonly suspicions: Containment;
   answer: (request: WriteRequest) => Promise<WriteOutcome>;
@@ -116,12 +116,12 @@
   readonly api?: Record<string, number>;
   readonly timeouts?: Partial<ListenerTimeouts>;
 }): Promise<ApiFixture> {
-  const { timeouts = {}, ...given } = options;
+  const { timeouts = {}, ...overrides } = options;
   const settings = parseSettings('test', {
     machine: { id: 'm1', address: '127.0.0.1', zone: 'a', region: 'r' },
     ports: { admin: 0 },
     fleetKey: FLEET_KEY,
-    ...given,
+    ...overrides,
   });
   const view = new SettableView();
   const metrics = new Metrics();
@@ -161,7 +161,7 @@
   readonly body: Record<string, unknown>;
 }
 
-/** One request on a connection of its own. */
+/** Sends one request on its own connection. */
 export function call(
   { server }: ApiFixture,
   method: string,
@@ -171,7 +171,7 @@
 ): Promise<ApiAnswer> {
   const target = { host: '127.0.0.1', port: server.port, method, path, headers, agent: false };
   return new Promise((resolve, reject) => {
-    const sent = request(target, (response) => {
+    const clientRequest = request(target, (response) => {
       let text = '';
       response.setEncoding('utf8');
       response.on('data', (chunk: string) => (text += chunk));
@@ -183,12 +183,12 @@
         resolve({ status, headers: received, text, body: parsed });
       });
     });
-    sent.on('error', reject);
-    sent.end(body);
+    clientRequest.on('error', reject);
+    clientRequest.end(body);
   });
 }
 
-/** Sends raw bytes, then the end when `ends`; resolves with everything that comes back. */
+/** Sends raw bytes, and ends the connection if `ends`; resolves with all data received. */
 export function callRaw({ server }: ApiFixture, bytes: string, ends = false): Promise<string> {
   return new Promise((resolve) => {
     let text = '';
--- a/test/api/bad-requests.test.ts
+++ b/test/api/bad-requests.test.ts
@@ -3,7 +3,7 @@
 import { expect } from 'chai';
 import { API_COUNTERS } from '../../src/api/api-counters.js';
 import { MAX_URL_LENGTH } from '../../src/api/api-request.js';
-import { MAX_HEADER_BYTES, MAX_PLAIN_CONNECTIONS } from '../../src/api/listener-limits.js';
+import { MAX_HEADER_BYTES, MAX_NON_WATCH_CONNECTIONS } from '../../src/api/listener-limits.js';
 import { VERDICT_HEADER } from '../../src/model/verdict.js';
 import { ADMIN_TOKEN, call, callRaw, openApi, serviceOf, type ApiFixture } from './api-fixture.js';
 
@@ -14,9 +14,9 @@
 const BIG = 'x'.repeat(MAX_BODY_BYTES);
 const NESTED = `{"spec":${'['.repeat(900)}${']'.repeat(900)}}`;
 
-/** A bad request: what it is, method and path, the answer, headers and body. */
+/** An invalid request: description, method and path, expected answer, headers and body. */
 type BadRequest = readonly [
-  what: string,
+  description: string,
   line: string,
   answer: string,
   headers?: Record<string, string>,
@@ -29,12 +29,12 @@
   ['a wrong token', 'GET /v1/services', '403 TOKEN_REFUSED', { authorization: 'Bearer x' }],
   ['an unknown path', 'GET /v2/services', '404 NOT_FOUND'],
   ['an unknown kind', 'GET /v1/clusters', '404 NOT_FOUND'],
-  ['a kind by its member name', 'GET /v1/__proto__', '404 NOT_FOUND'],
+  ['a kind that is an inherited property name', 'GET /v1/__proto__', '404 NOT_FOUND'],
   ['a path too deep', 'GET /v1/services/a/b', '404 NOT_FOUND'],
   ['an unknown resource', 'GET /v1/services/none', '404 NOT_FOUND'],
   ['a name with capitals', 'GET /v1/services/Tiles', '400 MALFORMED_REQUEST'],
   ['a broken escape', 'GET /v1/services/%zz', '400 MALFORMED_REQUEST'],
-  ['a URL that is none', 'GET //', '400 MALFORMED_REQUEST'],
+  ['an invalid URL', 'GET //', '400 MALFORMED_REQUEST'],
   ['an unknown parameter', 'GET /v1/routes?limit=1', '400 MALFORMED_REQUEST'],
   ['a parameter twice', 'GET /v1/routes?watch=1&watch=1', '400 MALFORMED_REQUEST'],
   ['an unknown watch', 'GET /v1/routes?watch=2', '400 MALFORMED_REQUEST'],
@@ -74,7 +74,7 @@
     { ...CREATE, 'content-type': 'text/yaml' },
     'spec: {}',
   ],
-  ['a body that is no JSON', PUT, '400 MALFORMED_REQUEST', CREATE, '{"spec":'],
+  ['a body that is not JSON', PUT, '400 MALFORMED_REQUEST', CREATE, '{"spec":'],
   ['no body', PUT, '400 MALFORMED_REQUEST'],
   ['another name in the body', PUT, '400 MALFORMED_REQUEST', CREATE, '{"name":"other","spec":{}}'],
   ['another kind in the body', PUT, '400 MALFORMED_REQUEST', CREATE, '{"kind":"route","spec":{}}'],
@@ -83,7 +83,7 @@
   ['deep nesting', PUT, '422 INVALID_RESOURCE', CREATE, NESTED],
 ];
 
-/** Opens connections one after the other; resolves once the listener has refused one. */
+/** Opens connections sequentially; resolves once the listener has refused one. */
 async function openConnections(port: number, count: number): Promise<Socket[]> {
   const sockets: Socket[] = [];
   for (let opened = 0; opened < count; opened += 1) {
@@ -103,8 +103,8 @@
   }
 }
 
-/** Resolves once the listener has noticed closed connections and answers a new one. */
-async function answersAgain(api: ApiFixture): Promise<void> {
+/** Resolves once the listener has detected closed connections and answers on a new one. */
+async function waitUntilAnswering(api: ApiFixture): Promise<void> {
   for (;;) {
     const answer = await call(api, 'GET', '/healthz').catch(() => undefined);
     if (answer?.status === 200) {
@@ -113,7 +113,7 @@
   }
 }
 
-describe('the admin server under bad requests', () => {
+describe('the admin server on invalid requests', () => {
   let api: ApiFixture;
 
   beforeEach(async () => {
@@ -125,8 +125,8 @@
     api.server.abort();
   });
 
-  for (const [what, line, expected, headers, body] of [...BAD_READS, ...BAD_WRITES]) {
-    it(`answers ${what} with ${expected}, writes nothing and serves on`, async () => {
+  for (const [description, line, expected, headers, body] of [...BAD_READS, ...BAD_WRITES]) {
+    it(`answers ${description} with ${expected}, writes nothing and keeps serving`, async () => {
       const [method = '', path = ''] = line.split(' ');
       const isWrite = method !== 'GET';
       const answer = await call(api, method, path, headers ?? CREATE, body);
@@ -143,26 +143,26 @@
   const raw: readonly (readonly [string, string, RegExp])[] = [
     ['garbage', '\x16\x03\x01\x02garbage\r\n\r\n', /^HTTP\/1\.1 400 .*"MALFORMED_REQUEST"/s],
     [
-      'two lengths',
+      'two content lengths',
       'PUT / HTTP/1.1\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\n',
       /^HTTP\/1.1 400/,
     ],
     [
-      'a length beside chunks',
+      'both a content length and chunked encoding',
       'PUT / HTTP/1.1\r\nhost: x\r\ncontent-length: 1\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n',
       /^HTTP\/1\.1 400/,
     ],
-    ['no host', 'GET /healthz HTTP/1.1\r\n\r\n', /^HTTP\/1\.1 400/],
+    ['no host header', 'GET /healthz HTTP/1.1\r\n\r\n', /^HTTP\/1\.1 400/],
     [
       'CONNECT',
       'CONNECT x:1 HTTP/1.1\r\nhost: x\r\n\r\n',
       /^HTTP\/1\.1 405 .*"METHOD_NOT_ALLOWED"/s,
     ],
   ];
-  it('drops a write whose connection ends inside the body', async () => {
+  it('refuses a write whose connection ends before its body is complete', async () => {
     const head = `PUT /v1/services/a HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${ADMIN_TOKEN}`;
-    const rest = '\r\nif-none-match: *\r\ncontent-length: 100\r\n\r\n{"spec":{}';
-    expect(await callRaw(api, head + rest, true)).to.match(/^HTTP\/1\.1 400/);
+    const remainder = '\r\nif-none-match: *\r\ncontent-length: 100\r\n\r\n{"spec":{}';
+    expect(await callRaw(api, head + remainder, true)).to.match(/^HTTP\/1\.1 400/);
     expect(api.writes).to.deep.equal([]);
   });
 
@@ -174,36 +174,36 @@
         'if-none-match: *\r\ncontent-length: 100\r\n\r\n{"spec":{}',
       /^HTTP\/1\.1 408 .*"REQUEST_TIMEOUT"/s,
     ],
-    ['a connection that says nothing', '', /^HTTP\/1\.1 408 /],
+    ['a connection without data', '', /^HTTP\/1\.1 408 /],
   ];
-  for (const [what, bytes, expected] of slow) {
-    it(`gives up ${what}`, async () => {
+  for (const [description, bytes, expected] of slow) {
+    it(`times out ${description}`, async () => {
       const timeouts = { headersMs: 50, requestMs: 100, checkIntervalMs: 20, silenceMs: 400 };
-      const impatient = await openApi({ adminToken: ADMIN_TOKEN, timeouts });
+      const shortTimeouts = await openApi({ adminToken: ADMIN_TOKEN, timeouts });
       try {
-        expect(await callRaw(impatient, bytes)).to.match(expected);
-        expect(impatient.writes).to.deep.equal([]);
+        expect(await callRaw(shortTimeouts, bytes)).to.match(expected);
+        expect(shortTimeouts.writes).to.deep.equal([]);
       } finally {
-        impatient.server.abort();
+        shortTimeouts.server.abort();
       }
     });
   }
 
-  it('refuses connections beyond its bound, and takes new ones later', async () => {
+  it('refuses connections beyond its limit, and accepts new ones after others close', async () => {
     const bounded = await openApi({ api: { maxWatchers: 1 } });
     try {
-      const sockets = await openConnections(bounded.server.port, MAX_PLAIN_CONNECTIONS + 2);
+      const sockets = await openConnections(bounded.server.port, MAX_NON_WATCH_CONNECTIONS + 2);
       const refused = bounded.metrics.counterTotals().get(API_COUNTERS.connectionsRefused);
       expect(refused).to.equal(1);
       await Promise.all(sockets.map(closeSocket));
-      await answersAgain(bounded);
+      await waitUntilAnswering(bounded);
     } finally {
       bounded.server.abort();
     }
   });
 
-  for (const [what, bytes, expected] of raw) {
-    it(`answers ${what} on the bare socket and closes it`, async () => {
+  for (const [description, bytes, expected] of raw) {
+    it(`answers ${description} on the raw socket and closes it`, async () => {
       expect(await callRaw(api, bytes)).to.match(expected);
       expect((await call(api, 'GET', '/healthz')).status).to.equal(200);
     });
--- a/test/api/watch.test.ts
+++ b/test/api/watch.test.ts
@@ -13,16 +13,16 @@
   type ApiFixture,
 } from './api-fixture.js';
 
-/** A watch whose lines the test takes one by one. */
+/** A watch client whose events the test reads one by one. */
 class WatchClient {
   readonly text: string[] = [];
   private lines: string[] = [];
-  private rest = '';
-  private waiting: (() => void) | undefined;
+  private partialLine = '';
+  private wakeReader: (() => void) | undefined;
   private ended = false;
 
   constructor(
-    private readonly sent: ClientRequest,
+    private readonly clientRequest: ClientRequest,
     private readonly response: IncomingMessage,
   ) {
     response.setEncoding('utf8');
@@ -31,16 +31,16 @@
     response.on('close', () => this.finish());
   }
 
-  /** The next event; undefined at the end of the stream. */
+  /** Returns the next event, or undefined at the end of the stream. */
   async next(): Promise<WatchEvent | undefined> {
     while (this.lines.length === 0 && !this.ended) {
-      await new Promise<void>((resolve) => (this.waiting = resolve));
+      await new Promise<void>((resolve) => (this.wakeReader = resolve));
     }
     const line = this.lines.shift();
     return line === undefined ? undefined : (JSON.parse(line) as WatchEvent);
   }
 
-  /** Events up to and with the next bookmark, as short words. */
+  /** Reads events up to and including the next bookmark; returns them as short words. */
   async untilBookmark(): Promise<{ words: string[]; cursor: string }> {
     const words: string[] = [];
     for (;;) {
@@ -64,33 +64,35 @@
   }
 
   close(): void {
-    this.sent.destroy();
+    this.clientRequest.destroy();
   }
 
   private receive(chunk: string): void {
     this.text.push(chunk);
-    const parts = (this.rest + chunk).split('\n');
-    this.rest = parts.pop() ?? '';
+    const parts = (this.partialLine + chunk).split('\n');
+    this.partialLine = parts.pop() ?? '';
     this.lines.push(...parts);
-    this.waiting?.();
+    this.wakeReader?.();
   }
 
   private finish(): void {
     this.ended = true;
-    this.waiting?.();
+    this.wakeReader?.();
   }
 }
 
 function watch({ server }: ApiFixture, path: string): Promise<WatchClient> {
   const target = { host: '127.0.0.1', port: server.port, path, agent: false };
   return new Promise((resolve, reject) => {
-    const sent = request(target, (response) => resolve(new WatchClient(sent, response)));
-    sent.on('error', reject);
-    sent.end();
+    const clientRequest = request(target, (response) =>
+      resolve(new WatchClient(clientRequest, response)),
+    );
+    clientRequest.on('error', reject);
+    clientRequest.end();
   });
 }
 
-/** Waits until a counter has reached `value`, an event of the server that no client can see. */
+/** Waits until a counter has reached `value`, which clients cannot observe. */
 async function counterReaches({ metrics }: ApiFixture, name: string, value: number): Promise<void> {
   while ((metrics.counterTotals().get(name) ?? 0) < value) {
     await new Promise((resolve) => setImmediate(resolve));
@@ -109,7 +111,7 @@
     api.server.abort();
   });
 
-  it('send the present state, a bookmark, then changes of their kind alone', async () => {
+  it('send the current state, a bookmark, then changes of their kind only', async () => {
     await open();
     const client = await watch(api, '/v1/services?watch=1');
     expect((await client.untilBookmark()).words).to.deep.equal(['+a', '+b']);
@@ -119,7 +121,7 @@
     expect((await client.untilBookmark()).words).to.deep.equal([]);
   });
 
-  it('go on from the cursor of a list', async () => {
+  it('resume from the cursor of a list', async () => {
     await open();
     const list = await call(api, 'GET', '/v1/services');
     api.view.set(2, serviceOf('a'));
@@ -127,7 +129,7 @@
     expect((await client.untilBookmark()).words).to.deep.equal(['-b']);
   });
 
-  it('go on from a bookmark after the connection broke, losing and doubling nothing', async () => {
+  it('resume from a bookmark after a lost connection, without lost or duplicate events', async () => {
     await open();
     const first = await watch(api, '/v1/services?watch=1');
     const { cursor } = await first.untilBookmark();
@@ -140,7 +142,7 @@
     expect((await second.untilBookmark()).words).to.deep.equal(['+d']);
   });
 
-  it('go on at another node that holds the same version', async () => {
+  it('resume on another node that holds the same version', async () => {
     await open();
     const { cursor } = await (await watch(api, '/v1/services?watch=1')).untilBookmark();
     const other = await openApi({});
@@ -154,7 +156,7 @@
     }
   });
 
-  it('are told to list again when the history does not reach back', async () => {
+  it('are refused with LIST_AGAIN if the history does not reach back to the cursor', async () => {
     await open({ watchHistoryEvents: 2 });
     const list = await call(api, 'GET', '/v1/services');
     api.view.set(2, serviceOf('a', 2), serviceOf('b', 2));
@@ -165,14 +167,14 @@
     expect(answer.body['code']).to.equal('LIST_AGAIN');
   });
 
-  it('are told to list again for another document under the held number', async () => {
+  it('are refused with status 410 for another document with the held number', async () => {
     await open();
     const from = `1.${'0'.repeat(31)}0-0.${'0'.repeat(32)}`;
     const answer = await call(api, 'GET', `/v1/services?watch=1&from=${from}`);
     expect(answer.status).to.equal(410);
   });
 
-  it('are told to wait when the node lags behind the cursor', async () => {
+  it('are refused with NOT_HELD_YET while the node lags behind the cursor', async () => {
     await open();
     const from = `9.${'0'.repeat(32)}-0.${'0'.repeat(32)}`;
     const answer = await call(api, 'GET', `/v1/services?watch=1&from=${from}`);
@@ -181,7 +183,7 @@
     expect(answer.headers['retry-after']).to.equal('1');
   });
 
-  it('never show a secret, but tell that it changed', async () => {
+  it('report a change of a secret without its value', async () => {
     await open();
     api.view.set(2, secretOf('s'));
     const client = await watch(api, '/v1/secrets?watch=1');
@@ -191,7 +193,7 @@
     expect(client.text.join('')).not.to.contain(SECRET_VALUE);
   });
 
-  it('are bounded in number', async () => {
+  it('are limited in number', async () => {
     await open({ maxWatchers: 1 });
     const first = await watch(api, '/v1/services?watch=1');
     const refused = await call(api, 'GET', '/v1/routes?watch=1');
@@ -203,22 +205,22 @@
     expect((await second.untilBookmark()).words).to.deep.equal(['+a', '+b']);
   });
 
-  it('that read too slowly are dropped with a reason; others are unharmed', async () => {
+  it('that read too slowly are ended with a reason, without effect on others', async () => {
     await open({ watchHistoryEvents: 500 });
     const slow = await watch(api, '/v1/services?watch=1');
     await slow.untilBookmark();
     slow.pause();
     const quick = await watch(api, '/v1/routes?watch=1');
     await quick.untilBookmark();
-    const wide = (round: number): Resource[] =>
+    const largeConfiguration = (round: number): Resource[] =>
       Array.from({ length: 400 }, (_, index) => serviceOf(`${'n'.repeat(100)}${index}`, round + 1));
     let round = 1;
     const dropped = () =>
       api.metrics.counterTotals().get('ferryspool_api_watches_too_slow_total') ?? 0;
-    // Socket buffers of the system take the first megabytes; the loop ends well before 400 rounds.
+    // The system's socket buffers absorb the first megabytes; the loop ends well before 400 rounds.
     while (dropped() === 0 && round < 400) {
       round += 1;
-      api.view.set(round, ...wide(round));
+      api.view.set(round, ...largeConfiguration(round));
       await quick.untilBookmark();
     }
     expect(dropped()).to.equal(1);
@@ -232,11 +234,11 @@
     expect((await quick.untilBookmark()).words).to.deep.equal(['+r']);
   });
 
-  it('outlast the silence after which other connections are closed', async () => {
-    api = await openApi({ timeouts: { silenceMs: 50 } });
+  it('are not closed by the inactivity timeout of other connections', async () => {
+    api = await openApi({ timeouts: { inactivityMs: 50 } });
     const client = await watch(api, '/v1/services?watch=1');
     await client.untilBookmark();
-    // Opened after the watch fell silent, so that its end shows that the time has passed.
+    // Opened after the watch became idle, so that its close shows that the timeout has passed.
     expect(await callRaw(api, '')).to.equal('');
     api.view.set(1, serviceOf('a'));
     expect((await client.untilBookmark()).words).to.deep.equal(['+a']);
--- a/test/peers/delivery-fleet.ts
+++ b/test/peers/delivery-fleet.ts
@@ -118,7 +118,7 @@
       random: Math.random,
       logger: createLogger('info', {}, { write: (line) => log.push(line) }),
       counters: metrics,
-      onLearned: () => undefined,
+      onUpdated: () => undefined,
       onRefused: () => undefined,
     });
     const suspicions = { report: () => [], release: () => false };
--- a/test/runtime/control-runtime.test.ts
+++ b/test/runtime/control-runtime.test.ts
@@ -6,28 +6,28 @@
 } from '../../src/control/control-event.js';
 import { ControlRuntime, MAX_PENDING_EVENTS } from '../../src/runtime/control-runtime.js';
 
-/** Records events; asks for `wakes` wakes, one after the other. */
+/** Records event types; requests `wakes` wake events, one after the other. */
 class RecordingComponent implements ControlComponent {
-  readonly seen: string[] = [];
-  private wakesLeft: number;
+  readonly receivedTypes: string[] = [];
+  private remainingWakes: number;
 
   constructor(wakes: number) {
-    this.wakesLeft = wakes;
+    this.remainingWakes = wakes;
   }
 
   handle(event: ControlEvent): ControlEffect[] {
-    this.seen.push(event.type);
+    this.receivedTypes.push(event.type);
     if (event.type === 'dial-failed') {
       throw new Error('poison');
     }
     if (event.type === 'wake') {
-      this.wakesLeft -= 1;
+      this.remainingWakes -= 1;
     }
     return [{ type: 'state-change', what: event.type, detail: '' }];
   }
 
   nextWakeAt(): number {
-    return this.wakesLeft > 0 ? 0 : Infinity;
+    return this.remainingWakes > 0 ? 0 : Infinity;
   }
 }
 
@@ -48,13 +48,13 @@
 }
 
 describe('runtime/control-runtime', () => {
-  it('hands events over in order, executes effects, and wakes as asked', async () => {
+  it('delivers events in order, executes effects, and wakes the component when requested', async () => {
     const component = new RecordingComponent(2);
     const effects: string[] = [];
     await new Promise<void>((resolve) => {
       const { runtime } = runtimeOf(component, (effect) => {
         effects.push(effect.type === 'state-change' ? effect.what : effect.type);
-        if (effects.filter((what) => what === 'wake').length === 2) {
+        if (effects.filter((event) => event === 'wake').length === 2) {
           runtime.close();
           resolve();
         }
@@ -62,21 +62,21 @@
       runtime.start();
       runtime.offer({ type: 'stop' });
     });
-    expect(component.seen).to.deep.equal(['start', 'stop', 'wake', 'wake']);
-    expect(effects).to.deep.equal(component.seen);
+    expect(component.receivedTypes).to.deep.equal(['start', 'stop', 'wake', 'wake']);
+    expect(effects).to.deep.equal(component.receivedTypes);
   });
 
-  it('hands the stop event over before a stop is done', async () => {
+  it('delivers the stop event before stop resolves', async () => {
     const component = new RecordingComponent(0);
     const { runtime } = runtimeOf(component, () => undefined);
     runtime.start();
     await runtime.stop();
-    expect(component.seen).to.deep.equal(['start', 'stop']);
+    expect(component.receivedTypes).to.deep.equal(['start', 'stop']);
     runtime.close();
     await runtime.stop();
   });
 
-  it('drops an event that the logic fails on and goes on with the next', async () => {
+  it('drops an event on which the component throws and processes the next', async () => {
     const component = new RecordingComponent(0);
     const outcome = await new Promise<string[]>((resolve) => {
       const { runtime, failed } = runtimeOf(component, (effect) => {
@@ -92,7 +92,7 @@
     expect(outcome).to.deep.equal(['dial-failed']);
   });
 
-  it('bounds the events that wait and counts what it turns away', () => {
+  it('bounds the event queue and counts rejected events', () => {
     const { runtime, counted } = runtimeOf(new RecordingComponent(0), () => undefined);
     let accepted = 0;
     while (accepted <= MAX_PENDING_EVENTS && runtime.offer({ type: 'wake' })) {
--- a/test/runtime/crashing-request.test.ts
+++ b/test/runtime/crashing-request.test.ts
@@ -1,7 +1,7 @@
 /**
- * A request that ends each back end which runs it, at nodes that are joined by the control plane. Three
- * back ends ended under it, each beside another node; the fourth send was answered as the first: nothing
- * told the other nodes that the request had come before.
+ * A request that crashes each back end that runs it, on nodes connected by the control plane. Guards
+ * against nodes that do not share suspicions: after three back ends beside three different nodes had
+ * crashed, the fourth attempt was handled like the first, because no other node knew of the crashes.
  */
 import { expect } from 'chai';
 import { Agent, request } from 'node:http';
@@ -17,14 +17,21 @@
   readonly text: string;
 }
 
-/** One request at the machine's caller port, on a connection of its own. */
+/** Sends one request to the machine's caller port, on its own connection. */
 function send({ ports }: FleetMachine, path: string, method = 'GET'): Promise<Result> {
   return new Promise((resolve, reject) => {
     const headers = { 'x-call-id': path };
     const agent = new Agent({ keepAlive: false });
-    const sent = request({ host: '127.0.0.1', port: ports.caller, path, method, agent, headers });
-    sent.on('error', reject);
-    sent.on('response', (message) => {
+    const clientRequest = request({
+      host: '127.0.0.1',
+      port: ports.caller,
+      path,
+      method,
+      agent,
+      headers,
+    });
+    clientRequest.on('error', reject);
+    clientRequest.on('response', (message) => {
       let text = '';
       message.setEncoding('utf8');
       message.on('data', (chunk: string) => {
@@ -35,11 +42,11 @@
         resolve({ status: message.statusCode ?? 0, verdict: String(verdict), text });
       });
     });
-    sent.end();
+    clientRequest.end();
   });
 }
 
-describe('a request that ends each back end, at nodes of a control plane', function () {
+describe('a request that crashes each back end, on nodes of a control plane', function () {
   this.timeout(20_000);
   let fleet: LocalFleet;
   const crashes: string[] = [];
@@ -60,7 +67,7 @@
 
   afterEach(() => fleet.stop());
 
-  /** Ends the back end a little after it has begun to run a crashing request. */
+  /** Restarts the back end shortly after it has started to run a crashing request. */
   function crash(machineId: string, callId: string | undefined): void {
     if (callId !== CRASHING) {
       return;
@@ -69,7 +76,7 @@
     setTimeout(() => void fleet.restartBackend(machineId), CRASH_AFTER_MS);
   }
 
-  it('is refused by all of them, provably not run, once three have ended', async () => {
+  it('is refused by all nodes as not run once three back ends have crashed', async () => {
     const [edge = expect.fail('no machine')] = fleet.machines;
     while (crashes.length < 3) {
       await send(edge, CRASHING, 'POST');
--- a/test/runtime/life-cycle.test.ts
+++ b/test/runtime/life-cycle.test.ts
@@ -1,9 +1,8 @@
-/** The life-cycle manager: order, once, faults, and what comes too late. */
 import { expect } from 'chai';
 import { LifeCycle } from '../../src/runtime/life-cycle.js';
 
 describe('the life-cycle manager', () => {
-  it('closes what it owns in the reverse order, once', async () => {
+  it('closes its resources once, in reverse order', async () => {
     const closed: string[] = [];
     const lifeCycle = new LifeCycle();
     for (const name of ['a', 'b', 'c']) {
@@ -13,16 +12,16 @@
     expect(closed).to.deep.equal(['c', 'b', 'a']);
   });
 
-  it('reports what fails to close, and closes the rest', async () => {
-    const seen: string[] = [];
-    const lifeCycle = new LifeCycle((name, err) => seen.push(`${name}: ${String(err)}`));
-    lifeCycle.own('a', 1, () => void seen.push('a closed'));
+  it('reports a resource that fails to close and closes the others', async () => {
+    const calls: string[] = [];
+    const lifeCycle = new LifeCycle((name, err) => calls.push(`${name}: ${String(err)}`));
+    lifeCycle.own('a', 1, () => void calls.push('a closed'));
     lifeCycle.own('b', 2, () => Promise.reject(new Error('stuck')));
     await lifeCycle.close();
-    expect(seen).to.deep.equal(['b: Error: stuck', 'a closed']);
+    expect(calls).to.deep.equal(['b: Error: stuck', 'a closed']);
   });
 
-  it('closes at once what it is given after it was closed', async () => {
+  it('immediately closes a resource that is added after close', async () => {
     const lifeCycle = new LifeCycle();
     await lifeCycle.close();
     let isClosed = false;
--- a/test/runtime/logger.test.ts
+++ b/test/runtime/logger.test.ts
@@ -8,7 +8,7 @@
 }
 
 describe('createLogger', () => {
-  it('writes one JSON line per event with level, time, base and fields', () => {
+  it('writes one JSON line per event with level, time, base fields and event fields', () => {
     const { logger, parsed } = capture('info');
     logger.info('node-started', { ports: { caller: 1 } });
     logger.warn('source-stale', { heldNumber: 4 });
@@ -19,7 +19,7 @@
     expect(second).to.include({ level: 'warn', event: 'source-stale', heldNumber: 4 });
   });
 
-  it('leaves out lines below its level, and folds no repeated line', () => {
+  it('omits lines below its level and does not merge repeated lines', () => {
     const { logger, parsed } = capture('error');
     logger.info('quiet');
     logger.error('loud');
@@ -27,7 +27,7 @@
     expect(parsed().map((line) => line['event'])).to.deep.equal(['loud', 'loud']);
   });
 
-  it('lets no field replace time, level or event', () => {
+  it('does not let fields replace time, level or event', () => {
     const { logger, parsed } = capture('debug');
     logger.debug('real', { event: 'other', level: 'other', time: 'other', message: 'kept' });
     expect(parsed()[0]).to.include({ event: 'real', level: 'debug', message: 'kept' });
--- a/test/runtime/metrics.test.ts
+++ b/test/runtime/metrics.test.ts
@@ -2,7 +2,7 @@
 import { Metrics } from '../../src/runtime/metrics.js';
 
 describe('Metrics', () => {
-  it('adds to counters that are made at first use', async () => {
+  it('creates counters on first use and adds to them', async () => {
     const metrics = new Metrics();
     metrics.add('ferryspool_deltas_total');
     metrics.add('ferryspool_deltas_total', 2);
@@ -10,14 +10,14 @@
     expect(metrics.counterTotals().get('ferryspool_deltas_total')).to.equal(3);
   });
 
-  it('shows declared counters at 0 with their help', async () => {
+  it('exports declared counters at 0 with their help text', async () => {
     const metrics = new Metrics();
     metrics.declareCounter('ferryspool_resets_total', 'Resets seen');
     expect(await metrics.text()).to.match(/# HELP ferryspool_resets_total Resets seen\n/);
     expect(await metrics.text()).to.match(/^ferryspool_resets_total 0$/m);
   });
 
-  it('reads gauges when asked, and forgets labels that are gone', async () => {
+  it('reads gauges on each export and removes labels that are no longer reported', async () => {
     const metrics = new Metrics();
     let zones = ['a', 'b'];
     metrics.gauge('ferryspool_zones', 'Zones', () => zones.length);
@@ -30,11 +30,11 @@
     expect(await metrics.text()).not.to.contain('zone="b"');
   });
 
-  it('counts observations in buckets, and keeps nodes apart', async () => {
-    const [one, other] = [new Metrics(), new Metrics()];
-    one.histogram('ferryspool_request_seconds', 'Request time').observe(0.003);
-    other.histogram('ferryspool_request_seconds', 'Request time');
-    expect(await one.text()).to.match(/request_seconds_bucket\{le="0.005"\} 1/);
-    expect(await other.text()).to.match(/request_seconds_count 0/);
+  it('counts observations in buckets, separately for each instance', async () => {
+    const [first, second] = [new Metrics(), new Metrics()];
+    first.histogram('ferryspool_request_seconds', 'Request time').observe(0.003);
+    second.histogram('ferryspool_request_seconds', 'Request time');
+    expect(await first.text()).to.match(/request_seconds_bucket\{le="0.005"\} 1/);
+    expect(await second.text()).to.match(/request_seconds_count 0/);
   });
 });
--- a/test/runtime/node.test.ts
+++ b/test/runtime/node.test.ts
@@ -9,7 +9,7 @@
   statusOf,
 } from '../support/local-fleet.js';
 
-describe('runtime/node: the whole path', function () {
+describe('runtime/node: end to end', function () {
   this.timeout(20_000);
   let fleet: LocalFleet;
 
@@ -31,14 +31,14 @@
     expect(runs).to.have.length(fleet.machines.length);
   });
 
-  it('refuses an unknown route with proof that nothing ran', async () => {
+  it('refuses an unknown route with verdict not-run', async () => {
     const response = await call(fleet.machine('edge-a'), '/nowhere');
     expect(response.status).to.equal(404);
     expect(response.headers.get(VERDICT_HEADER)).to.equal('not-run');
     await response.arrayBuffer();
   });
 
-  it('brings a change to every node and refuses a bad version whole', async () => {
+  it('propagates a change to every node and rejects an invalid version as a whole', async () => {
     fleet.publish(2);
     await fleet.converged(2);
     fleet.platform.publish({ version: 3, raw: '{"version":3,"resources":[{"kind":"route"}]}' });
@@ -61,7 +61,7 @@
     await fleet.converged(6);
   });
 
-  it('shows in its status why a version was refused and that all hold the same', async () => {
+  it('reports in its status why a version was rejected and that all nodes hold the same versions', async () => {
     const dangling = { kind: 'route', name: 'x', spec: { pathPrefix: '/', service: 'gone' } };
     fleet.platform.publish({
       version: 9,
@@ -81,7 +81,7 @@
     );
   });
 
-  it('shows endpoints as its requests find them', async () => {
+  it('reports endpoint states in its status', async () => {
     const stateOf = async (name: string): Promise<string | undefined> => {
       const { endpoints } = await statusOf(fleet.machine('edge-a'));
       return endpoints.find((endpoint) => endpoint.name === name)?.state;
@@ -92,7 +92,7 @@
     expect(await stateOf('tiles-b-0')).to.equal('ready');
   });
 
-  it('finishes a request in flight through a planned stop of its node', async () => {
+  it('completes an in-flight request during a planned stop of its node', async () => {
     const machine = fleet.machine('edge-a');
     const answer = call(machine, '/tiles/slow', { headers: { 'x-work-ms': '300' } });
     await eventually(() =>
--- a/test/runtime/operator-writes.test.ts
+++ b/test/runtime/operator-writes.test.ts
@@ -13,7 +13,7 @@
   readonly spec?: { readonly requestTimeoutMs: number };
 }
 
-/** One request to a node's resource API. */
+/** Sends one request to a node's resource API. */
 async function api(
   machine: FleetMachine,
   method: string,
@@ -35,7 +35,7 @@
 
 const create = { 'if-none-match': '*' };
 
-describe('runtime/node: operators writes', function () {
+describe('runtime/node: operator writes', function () {
   this.timeout(60_000);
   let fleet: LocalFleet;
 
@@ -50,8 +50,8 @@
 
   after(() => fleet.stop());
 
-  /** Creates a service at the node as soon as the fleet takes writes. */
-  async function createWhenTaken(machine: FleetMachine, name: string): Promise<Answer> {
+  /** Creates a service through the node, retrying until the fleet accepts writes. */
+  async function createWhenAccepted(machine: FleetMachine, name: string): Promise<Answer> {
     let answer = await api(machine, 'PUT', `services/${name}`, create, { requestTimeoutMs: 100 });
     await eventually(async () => {
       if (answer.status === 503) {
@@ -62,15 +62,15 @@
     return answer;
   }
 
-  it('accepts a write at a node that is no voter, and shows it on every node', async () => {
-    const answer = await createWhenTaken(fleet.machine('tiles-c-0'), 'parcels');
+  it('accepts a write at a node that is not a voter, and serves it on every node', async () => {
+    const answer = await createWhenAccepted(fleet.machine('tiles-c-0'), 'parcels');
     expect([answer.status, answer.verdict]).to.deep.equal([200, 'ran']);
     for (const machine of fleet.machines) {
       await eventually(async () => (await api(machine, 'GET', 'services/parcels')).status === 200);
     }
   });
 
-  it('lets one of two racing writers win, and tells the other the current version', async () => {
+  it('accepts one of two concurrent writes, and returns the current version to the other writer', async () => {
     const { version } = await api(fleet.machine('edge-a'), 'GET', 'services/parcels');
     const headers = { 'if-match': `"${version}"` };
     const answers = await Promise.all(
@@ -86,7 +86,7 @@
     expect(answers[1]?.verdict).to.equal('not-run');
   });
 
-  it('refuses what would dangle, and deletes what the source publishes', async () => {
+  it('refuses dangling references, and deletes resources that the source publishes', async () => {
     const machine = fleet.machine('edge-c');
     const route = { pathPrefix: '/x', service: 'nowhere' };
     const dangling = await api(machine, 'PUT', 'routes/x', create, route);
@@ -100,16 +100,16 @@
     }
   });
 
-  it('keeps what was accepted when the primary dies, and goes on', async () => {
+  it('keeps accepted writes after the primary fails, and accepts new ones', async () => {
     const before = await api(fleet.machine('tiles-c-0'), 'GET', 'services/parcels');
     fleet.machine('edge-a').node.abort();
-    const answer = await createWhenTaken(fleet.machine('tiles-c-0'), 'extracts');
+    const answer = await createWhenAccepted(fleet.machine('tiles-c-0'), 'extracts');
     expect(answer.status).to.equal(200);
     const after = await api(fleet.machine('tiles-c-0'), 'GET', 'services/parcels');
     expect(after.spec).to.deep.equal(before.spec);
   });
 
-  it('says that it did not accept, or may have, when most voters are dead', async () => {
+  it('answers not-run or may-have-run when most voters are dead', async () => {
     for (const id of ['tiles-a-0', 'edge-b', 'tiles-b-0']) {
       fleet.machine(id).node.abort();
     }
--- a/test/runtime/request-logger.test.ts
+++ b/test/runtime/request-logger.test.ts
@@ -1,11 +1,11 @@
-/** Bounds of the log: its rate under load, and a reader that does not read. */
+/** Limits of the log: its rate under load, and its buffer when the reader does not read. */
 import { spawn } from 'node:child_process';
 import { expect } from 'chai';
 import { BoundedLineSink } from '../../src/runtime/bounded-line-sink.js';
 import { createLogger } from '../../src/runtime/logger.js';
 import { RequestLogger } from '../../src/runtime/request-logger.js';
 
-class Clock {
+class LoggerFixture {
   nowMs = 0;
   readonly lines: Record<string, unknown>[] = [];
   readonly log = new RequestLogger(
@@ -26,9 +26,9 @@
   }
 }
 
-describe('log of decisions on requests', () => {
-  it('writes the inputs of a decision', () => {
-    const clock = new Clock();
+describe('request logger', () => {
+  it('writes the fields of a decision', () => {
+    const clock = new LoggerFixture();
     clock.record(1);
     expect(clock.lines[0]).to.deep.include({
       event: 'request-failed',
@@ -37,8 +37,8 @@
     });
   });
 
-  it('keeps to its rate, counts what it dropped, and says so in a line', () => {
-    const clock = new Clock();
+  it('limits its rate and logs the number of dropped lines', () => {
+    const clock = new LoggerFixture();
     clock.record(1_000);
     expect(clock.lines).to.have.length(400);
     clock.nowMs = 1_000;
@@ -48,9 +48,9 @@
   });
 });
 
-describe('log of decisions under lasting load', () => {
-  it('keeps to its rate with the lines that tell of dropped ones', () => {
-    const clock = new Clock();
+describe('request logger under sustained load', () => {
+  it('stays within its rate, including reports of dropped lines', () => {
+    const clock = new LoggerFixture();
     const seconds = 10;
     for (let tick = 0; tick < seconds * 100; tick += 1) {
       clock.nowMs += 10;
@@ -60,8 +60,8 @@
   });
 });
 
-describe('sink of log lines', () => {
-  it('drops lines while its reader does not read, and says how many', () => {
+describe('bounded line sink', () => {
+  it('drops lines while its reader does not read, and reports their number', () => {
     const written: string[] = [];
     const stream = { writableLength: 0, write: (text: string) => written.push(text) };
     const sink = new BoundedLineSink(stream, 100);
@@ -76,7 +76,7 @@
     expect(written[2]).to.equal('d\n');
   });
 
-  it('does not stop a process whose output nobody reads', async () => {
+  it('does not block a process whose output is not read', async () => {
     const script = `
       import { BoundedLineSink } from ${JSON.stringify(new URL('../../src/runtime/bounded-line-sink.js', import.meta.url).href)};
       const sink = new BoundedLineSink(process.stdout);
--- a/test/runtime/reset-sockets.test.ts
+++ b/test/runtime/reset-sockets.test.ts
@@ -1,9 +1,7 @@
 /**
- * Peers that ask for another use of their connection, or send what is no request, and reset it: no
- * server of a node may leave a socket whose errors nobody takes.
- *
- * Node leaves the socket of an upgrade to its new owner: without a listener for errors, a reset ends the
- * process.
+ * Clients that send CONNECT, Upgrade, Expect or malformed data and then reset the connection. Node removes
+ * its own error listener from an upgraded socket: without another listener for errors, a reset ends the
+ * process. Every server of a node must therefore handle the errors of such sockets.
  */
 import { once } from 'node:events';
 import type { Server } from 'node:http';
@@ -19,23 +17,23 @@
 import { TestMesh } from '../proxy/rig.js';
 
 const HEAD = 'HTTP/1.1\r\nHost: a\r\n';
-/** Connections of each kind: whether the error comes before the socket is let go differs. */
+/** Connections per case: the error may occur before or after the server releases the socket. */
 const CONNECTIONS = 20;
 const SETTLE_MS = 300;
 
-const openings = [
-  { what: 'CONNECT', bytes: `CONNECT a:1 ${HEAD}\r\n` },
-  { what: 'CONNECT behind a request', bytes: `GET / ${HEAD}\r\nCONNECT a:1 ${HEAD}\r\n` },
-  { what: 'Upgrade', bytes: `GET / ${HEAD}Connection: Upgrade\r\nUpgrade: other\r\n\r\n` },
-  { what: 'Expect', bytes: `GET / ${HEAD}Expect: other\r\n\r\n` },
-  { what: 'no HTTP', bytes: 'GARBAGE\r\n\r\n' },
-  { what: 'a partial head', bytes: `GET / ${HEAD}` },
+const inputs = [
+  { description: 'CONNECT', bytes: `CONNECT a:1 ${HEAD}\r\n` },
+  { description: 'CONNECT after a request', bytes: `GET / ${HEAD}\r\nCONNECT a:1 ${HEAD}\r\n` },
+  { description: 'Upgrade', bytes: `GET / ${HEAD}Connection: Upgrade\r\nUpgrade: other\r\n\r\n` },
+  { description: 'Expect', bytes: `GET / ${HEAD}Expect: other\r\n\r\n` },
+  { description: 'malformed HTTP', bytes: 'GARBAGE\r\n\r\n' },
+  { description: 'a partial head', bytes: `GET / ${HEAD}` },
 ] as const;
 
 /** A server under test. */
-interface Served {
+interface ServerUnderTest {
   readonly port: number;
-  /** Connections that are open. */
+  /** Number of open connections. */
   openCount(): Promise<number>;
   close(): void;
 }
@@ -44,7 +42,7 @@
   return new Promise((resolve) => server.getConnections((_err, count) => resolve(count)));
 }
 
-async function listening(server: Server): Promise<Served> {
+async function listening(server: Server): Promise<ServerUnderTest> {
   server.listen(0, '127.0.0.1');
   await once(server, 'listening');
   return {
@@ -57,24 +55,24 @@
   };
 }
 
-async function callers(): Promise<Served> {
+async function openCallerServer(): Promise<ServerUnderTest> {
   const mesh = new TestMesh();
   const { callerPort: port, proxy } = await mesh.addNode('n1');
   return { port, openCount: () => openCountOf(proxy.callerServer), close: () => mesh.close() };
 }
 
-async function relay(): Promise<Served> {
+async function openRelayServer(): Promise<ServerUnderTest> {
   const mesh = new TestMesh();
   const { relayPort: port, proxy } = await mesh.addNode('n1');
   return { port, openCount: () => openCountOf(proxy.relayServer), close: () => mesh.close() };
 }
 
-async function admin(): Promise<Served> {
+async function openAdminServer(): Promise<ServerUnderTest> {
   const { server } = await openApi({});
   return { port: server.port, openCount: () => Promise.resolve(0), close: () => server.abort() };
 }
 
-function internal(): Promise<Served> {
+function openInternalServer(): Promise<ServerUnderTest> {
   const replica = new StoreReplica();
   const deltas = new DeltaTexts(replica);
   const feed = new ChangeFeed({ replica, deltas, freshness: () => ({ ageMs: 0 }) as never });
@@ -83,14 +81,14 @@
 }
 
 const servers = [
-  { name: 'callers', open: callers },
-  { name: 'the relay', open: relay },
-  { name: 'the admin API', open: admin },
+  { name: 'callers', open: openCallerServer },
+  { name: 'the relay', open: openRelayServer },
+  { name: 'the admin API', open: openAdminServer },
   { name: 'readiness', open: () => listening(createReadinessServer(() => true)) },
-  { name: 'metrics and peers', open: internal },
+  { name: 'metrics and peers', open: openInternalServer },
 ];
 
-/** Opens a connection, sends, and resets it at `delayMs`. */
+/** Opens a connection, sends `bytes`, and resets the connection after `delayMs`. */
 async function sendAndReset(port: number, bytes: string, delayMs: number): Promise<void> {
   const socket = net.connect(port, '127.0.0.1');
   socket.on('error', () => undefined);
@@ -100,28 +98,28 @@
   socket.resetAndDestroy();
 }
 
-describe('a reset of a connection', () => {
+describe('a connection reset', () => {
   for (const { name, open } of servers) {
-    for (const { what, bytes } of openings) {
-      it(`after ${what} does no harm to the server of ${name}`, async () => {
+    for (const { description: description, bytes } of inputs) {
+      it(`after ${description} does not affect the server of ${name}`, async () => {
         const uncaught: unknown[] = [];
-        const take = (err: unknown): unknown => uncaught.push(err);
-        const others = process.listeners('uncaughtException');
+        const recordError = (err: unknown): unknown => uncaught.push(err);
+        const previousListeners = process.listeners('uncaughtException');
         process.removeAllListeners('uncaughtException');
-        process.on('uncaughtException', take);
-        const served = await open();
+        process.on('uncaughtException', recordError);
+        const server = await open();
         try {
-          const sent = Array.from({ length: CONNECTIONS }, (_, at) =>
-            sendAndReset(served.port, bytes, at % 5),
+          const attempts = Array.from({ length: CONNECTIONS }, (_, at) =>
+            sendAndReset(server.port, bytes, at % 5),
           );
-          await Promise.all(sent);
+          await Promise.all(attempts);
           await new Promise((resolve) => setTimeout(resolve, SETTLE_MS));
           expect(uncaught).to.deep.equal([]);
-          expect(await served.openCount()).to.equal(0);
+          expect(await server.openCount()).to.equal(0);
         } finally {
-          served.close();
-          process.off('uncaughtException', take);
-          others.forEach((listener) => process.on('uncaughtException', listener));
+          server.close();
+          process.off('uncaughtException', recordError);
+          previousListeners.forEach((listener) => process.on('uncaughtException', listener));
         }
       });
     }
