--- a/test/runtime/reset-sockets.test.ts
+++ b/test/runtime/reset-sockets.test.ts
@@ -100,7 +100,7 @@
 
 describe('a connection reset', () => {
   for (const { name, open } of servers) {
-    for (const { description: description, bytes } of inputs) {
+    for (const { description, bytes } of inputs) {
       it(`after ${description} does not affect the server of ${name}`, async () => {
         const uncaught: unknown[] = [];
         const recordError = (err: unknown): unknown => uncaught.push(err);
