--- a/src/runtime/node-status.ts
+++ b/src/runtime/node-status.ts
@@ -26,8 +26,8 @@
     held: status.held,
     source: {
       isReader: parts.isReader(),
-      isStale: status.sourceEvidence.isStale,
-      ...elapsedField('sinceLastAnswerMs', now, status.sourceEvidence.lastAnswerAtMs),
+      isStale: status.sourceReadStatus.isStale,
+      ...elapsedField('sinceLastAnswerMs', now, status.sourceReadStatus.lastAnswerAtMs),
       ...(status.rejectedSource && { rejected: status.rejectedSource }),
     },
     suspended: status.suspended,
--- a/src/runtime/replica-source.ts
+++ b/src/runtime/replica-source.ts
@@ -55,7 +55,7 @@
   readonly logger: Logger;
   readonly counters: CounterSink;
   /** Called when the replica is confirmed; `hasChanged` is true if an item changed. */
-  readonly onUpdated: (hasChanged: boolean, origin: ChangeOrigin) => void;
+  readonly onUpdate: (hasChanged: boolean, origin: ChangeOrigin) => void;
   /** Called with items of the store that are invalid. */
   readonly onRefused: (items: readonly RefusedItem[]) => void;
 }
@@ -142,7 +142,7 @@
       replica,
       random,
       watchWaitMs: WATCH_WAIT_MS,
-      onLearned: (hasChanged) => {
+      onUpdate: (hasChanged) => {
         this.isStoreAnswering = true;
         this.sourceChoice.storeAnswered(MACHINE_CLOCK.now());
         this.replicaUpdated(hasChanged, FROM_STORE);
@@ -187,7 +187,7 @@
       return;
     }
     const { revision } = replica;
-    const hasChanged = delta !== undefined && replica.takeDelta(delta);
+    const hasChanged = delta !== undefined && replica.applyDelta(delta);
     const isConfirmed = this.sourceChoice.feedHeard(peer, message, MACHINE_CLOCK.now());
     if (isConfirmed || hasChanged || replica.revision > revision) {
       this.replicaUpdated(hasChanged, { path: 'feed', peer });
@@ -197,7 +197,7 @@
   /** Publishes to followers first, because applying a change on this node takes longer. */
   private replicaUpdated(hasChanged: boolean, origin: ChangeOrigin): void {
     this.publishToFollowers();
-    this.options.onUpdated(hasChanged, origin);
+    this.options.onUpdate(hasChanged, origin);
   }
 
   /**
--- a/src/runtime/store-node.ts
+++ b/src/runtime/store-node.ts
@@ -220,7 +220,7 @@
       random: Math.random,
       logger,
       counters: this.metrics,
-      onUpdated: (hasChanged, origin) => this.handleReplicaUpdate(hasChanged, origin),
+      onUpdate: (hasChanged, origin) => this.handleReplicaUpdate(hasChanged, origin),
       onRefused: (items) => this.refusalReporter.report(items),
     });
   }
--- a/test/control/convergence.test.ts
+++ b/test/control/convergence.test.ts
@@ -2,8 +2,8 @@
 import { identityOf, sourceValues } from './control-fixtures.js';
 import type { PumpNode } from './message-pump.js';
 import {
-  HEAL_MS,
-  assertOnlyRose,
+  RECOVERY_MS,
+  assertVersionsOnlyIncrease,
   nodeAt,
   sourceNumbers,
   startFleet,
@@ -13,7 +13,7 @@
 describe('control plane: convergence', () => {
   for (const size of [2, 3, 5, 10, 30]) {
     for (const padding of [0, 2_000]) {
-      it(`${size} nodes hold a version with ${padding + 1} services within 2 s`, () => {
+      it(`${size} nodes adopt a version with ${padding + 1} services within 2 s`, () => {
         const fleet = startFleet(size, size);
         fleet.pump.publish(nodeAt(fleet, size - 1), 7, sourceValues(100, padding));
         fleet.pump.run(2_000, () => fleet.pump.isConverged());
@@ -31,7 +31,7 @@
       },
     ],
     [
-      'two readers publish different documents under one number',
+      'two readers publish different documents with the same number',
       (fleet: Fleet) => {
         fleet.pump.publish(nodeAt(fleet, 1), 8, sourceValues(1));
         fleet.pump.publish(nodeAt(fleet, 7), 8, sourceValues(2));
@@ -46,7 +46,7 @@
       },
     ],
     [
-      'many versions in a row',
+      'many versions in quick succession',
       (fleet: Fleet) => {
         for (let number = 1; number <= 8; number += 1) {
           fleet.pump.publish(nodeAt(fleet, number % 3), number, sourceValues(number, number * 50));
@@ -55,52 +55,52 @@
       },
     ],
     [
-      'the reader dies after the publication',
+      'the reader is killed after the publication',
       (fleet: Fleet) => {
         fleet.pump.publish(nodeAt(fleet, 5), 8, sourceValues(1, 2_000));
-        const holdsIt = (node: PumpNode): boolean =>
+        const holdsVersion8 = (node: PumpNode): boolean =>
           node.plane.snapshot().version.source.number === 8;
-        fleet.pump.run(2_000, () => fleet.nodes.filter(holdsIt).length === 2);
+        fleet.pump.run(2_000, () => fleet.nodes.filter(holdsVersion8).length === 2);
         fleet.pump.kill(nodeAt(fleet, 5));
       },
     ],
     [
-      'half of the fleet restarts in the middle',
+      'half of the fleet restarts during propagation',
       (fleet: Fleet) => {
         fleet.pump.publish(nodeAt(fleet, 0), 8, sourceValues(1, 2_000));
         fleet.pump.run(30);
-        const herd = fleet.nodes.filter((_, index) => index % 2 === 1);
-        herd.forEach((node) => fleet.pump.kill(node));
+        const restarting = fleet.nodes.filter((_, index) => index % 2 === 1);
+        restarting.forEach((node) => fleet.pump.kill(node));
         fleet.pump.run(100);
-        herd.forEach((node) => fleet.pump.restart(node, { seeds: [identityOf(0)] }));
+        restarting.forEach((node) => fleet.pump.restart(node, { seeds: [identityOf(0)] }));
       },
     ],
   ] as const) {
-    it(`${name}: all hold version 8 and none fell back`, () => {
+    it(`${name}: all nodes hold version 8 and no node reverted to an older version`, () => {
       const fleet = startFleet(12);
       disturb(fleet);
-      fleet.pump.run(HEAL_MS, () => fleet.pump.isConverged());
+      fleet.pump.run(RECOVERY_MS, () => fleet.pump.isConverged());
       expect(fleet.pump.isConverged()).to.equal(true);
       expect([...sourceNumbers(fleet)]).to.deep.equal([8]);
-      assertOnlyRose({
+      assertVersionsOnlyIncrease({
         ...fleet,
         nodes: fleet.nodes.filter((node) => node.identity.incarnation === 1_000),
       });
     });
   }
 
-  it('a new node that met a stale source first follows its peers and pulls nobody back', () => {
+  it('a new node that read a stale source adopts the version of its peers and reverts none of them', () => {
     const fleet = startFleet(6);
     fleet.pump.publish(nodeAt(fleet, 0), 8, sourceValues(1));
     fleet.pump.run(1_000);
-    const late = fleet.pump.add(identityOf(6, 'region-1-0'), { seeds: [identityOf(0)] });
-    fleet.pump.publish(late, 3, sourceValues(3));
+    const newNode = fleet.pump.add(identityOf(6, 'region-1-0'), { seeds: [identityOf(0)] });
+    fleet.pump.publish(newNode, 3, sourceValues(3));
     fleet.pump.run(5_000);
     expect([...sourceNumbers(fleet)]).to.deep.equal([8]);
-    assertOnlyRose(fleet);
+    assertVersionsOnlyIncrease(fleet);
   });
 
-  it('an invalid version is refused by every node, and each can tell why', () => {
+  it('an invalid version is refused by every node, and each node reports the reason', () => {
     const fleet = startFleet(10);
     fleet.pump.publish(nodeAt(fleet, 0), 1, sourceValues(1));
     fleet.pump.run(1_000);
--- a/test/store/reborn-entries.test.ts
+++ b/test/store/reborn-entries.test.ts
@@ -1,8 +1,8 @@
 /**
- * Entries of back ends that are written, lapse, and come back under the same names, as several nodes learn
- * of them: by whole lists that may be old, by watches, by feeds and fetches from peers that may be behind,
- * and after a start that forgot everything. Whatever the order, an incarnation that a node has seen
- * replaced, or gone, at some revision never comes back there with an older one.
+ * Model test of back-end entries that are written, expire and are written again under the same names, while several
+ * nodes read them: through complete lists that may be outdated, watches, feeds and fetches from peers that may lag,
+ * and after restarts with empty state. In any order, an incarnation that a node has seen replaced or removed at some
+ * revision must never reappear there with an older revision.
  */
 import { expect } from 'chai';
 import fc from 'fast-check';
@@ -19,15 +19,15 @@
 const CONFIGURATION_KEY = 'configuration';
 
 type Step =
-  /** The back end of this name starts, again if it is there. */
+  /** The back end with this name starts, or restarts if its entry exists. */
   | { readonly type: 'birth'; readonly name: string; readonly port: number }
-  /** Its entry is removed; it may be written again without a birth. */
+  /** The entry is removed; a renewal may write it again without a start of the back end. */
   | { readonly type: 'lapse'; readonly name: string }
   | { readonly type: 'renewal'; readonly name: string }
-  /** A node reads what the store held `lag` revisions ago. */
+  /** A node lists the content of the store as of `lag` revisions ago. */
   | { readonly type: 'list'; readonly node: number; readonly lag: number }
   | { readonly type: 'watch'; readonly node: number }
-  /** A node is told what a peer holds, as of when the peer was told to say it. */
+  /** A node receives a delta from a peer; `late-feed` delivers the last delta again. */
   | { readonly type: 'feed'; readonly from: number; readonly to: number }
   | { readonly type: 'late-feed'; readonly to: number }
   | { readonly type: 'restart'; readonly node: number };
@@ -38,33 +38,33 @@
   readonly bornAtMs: number;
 }
 
-/** The store, with all of its history. */
+/** Model of the store with its complete history. */
 class Store {
   revision = 1;
   readonly history: StoreChange[] = [
     { key: CONFIGURATION_KEY, revision: 1, value: CONFIGURATION_KEY },
   ];
-  private readonly last = new Map<string, Entry>();
+  private readonly lastEntries = new Map<string, Entry>();
 
-  bear(name: string, port: number): void {
+  startEndpoint(name: string, port: number): void {
     this.write({ name, port, bornAtMs: this.revision + 1 });
   }
 
   renew(name: string): void {
-    const entry = this.last.get(name);
+    const entry = this.lastEntries.get(name);
     if (entry !== undefined) {
       this.write(entry);
     }
   }
 
-  lapse(name: string): void {
+  expire(name: string): void {
     if (this.stateAt(this.revision).has(name)) {
       this.revision += 1;
       this.history.push({ key: name, revision: this.revision, value: undefined });
     }
   }
 
-  /** The items that existed at the revision. */
+  /** The items that existed at `revision`. */
   stateAt(revision: number): Map<string, StoreChange> {
     const state = new Map<string, StoreChange>();
     for (const change of this.history.filter((one) => one.revision <= revision)) {
@@ -79,52 +79,52 @@
 
   private write(entry: Entry): void {
     this.revision += 1;
-    this.last.set(entry.name, entry);
+    this.lastEntries.set(entry.name, entry);
     const value = JSON.stringify(entry);
     this.history.push({ key: entry.name, revision: this.revision, value });
   }
 }
 
-/** One node: its replica, what it serves from, and what it has been shown. */
+/** A node with its replica, its snapshot builder, and the revision that it has watched up to. */
 class Reader {
   private replica = new StoreReplica();
   private builder = new SnapshotBuilder(readRecord);
-  private watchedTo = 0;
+  private watchedRevision = 0;
 
   constructor(private readonly store: Store) {}
 
   list(lag: number): void {
     const revision = Math.max(1, this.store.revision - lag);
-    this.replica.takeList([...this.store.stateAt(revision).values()], revision);
-    this.watchedTo = revision;
+    this.replica.applyList([...this.store.stateAt(revision).values()], revision);
+    this.watchedRevision = revision;
   }
 
   watch(): void {
-    if (this.watchedTo === 0) {
+    if (this.watchedRevision === 0) {
       return;
     }
     const { history, revision } = this.store;
-    const changes = history.filter((one) => one.revision > this.watchedTo);
-    this.replica.takeChanges(changes, revision);
-    this.watchedTo = revision;
+    const changes = history.filter((one) => one.revision > this.watchedRevision);
+    this.replica.applyChanges(changes, revision);
+    this.watchedRevision = revision;
   }
 
-  /** What the node tells a peer that holds this revision. */
-  tell(sinceRevision: number): ReturnType<typeof feedDeltaSince> {
+  /** The delta that the node sends to a peer at `sinceRevision`. */
+  deltaFor(sinceRevision: number): ReturnType<typeof feedDeltaSince> {
     return feedDeltaSince(this.replica, sinceRevision);
   }
 
-  hear(delta: ReturnType<typeof feedDeltaSince>): void {
+  receive(delta: ReturnType<typeof feedDeltaSince>): void {
     const resolved = resolveFeedDelta(this.replica, delta);
     if (resolved !== undefined) {
-      this.replica.takeDelta(resolved);
+      this.replica.applyDelta(resolved);
     }
   }
 
   restart(): void {
     this.replica = new StoreReplica();
     this.builder = new SnapshotBuilder(readRecord);
-    this.watchedTo = 0;
+    this.watchedRevision = 0;
   }
 
   get revision(): number {
@@ -132,7 +132,7 @@
   }
 
   /** The endpoints in force, as `name@born:port`. */
-  inForce(): string[] {
+  endpoints(): string[] {
     const { snapshot } = this.builder.build(this.replica.items());
     const endpoints = snapshot?.endpointsByService.get('echo') ?? [];
     return endpoints.map(({ name, spec }) => `${name}@${spec.bornAtMs ?? 0}:${spec.port}`).sort();
@@ -150,8 +150,8 @@
   return { kind: 'endpoint', endpoint };
 }
 
-/** What the endpoints in force at a revision are: of several at one address the one written last. */
-function modelAt(store: Store, revision: number): string[] {
+/** Endpoints expected at a revision; for each address, only the entry written last. */
+function expectedAt(store: Store, revision: number): string[] {
   const byPort = new Map<number, StoreChange>();
   for (const change of store.stateAt(revision).values()) {
     if (change.key !== CONFIGURATION_KEY) {
@@ -181,47 +181,50 @@
   fc.record({ type: fc.constant('restart' as const), node }),
 );
 
-/** Plays the steps; `look` is called with the node that was told something; all list the store at the end. */
-function play(
+/**
+ * Runs the steps and calls `check` with each node that has read something. With `listAtEnd`, all nodes list the
+ * store at the end.
+ */
+function simulate(
   steps: readonly Step[],
-  look: (reader: Reader, store: Store) => void,
-  doAllList = true,
+  check: (reader: Reader, store: Store) => void,
+  listAtEnd = true,
 ): Reader[] {
   const store = new Store();
   const readers = Array.from({ length: NODES }, () => new Reader(store));
   const readerOf = (index: number): Reader => readers[index] ?? expect.fail('no such node');
-  /** Told once already, and on its way a second time. */
-  let late: ReturnType<typeof feedDeltaSince> | undefined;
+  /** The last delivered delta, which a `late-feed` step delivers again. */
+  let lastDelta: ReturnType<typeof feedDeltaSince> | undefined;
   for (const one of steps) {
     switch (one.type) {
       case 'birth':
-        store.bear(one.name, one.port);
+        store.startEndpoint(one.name, one.port);
         break;
       case 'lapse':
-        store.lapse(one.name);
+        store.expire(one.name);
         break;
       case 'renewal':
         store.renew(one.name);
         break;
       case 'list':
         readerOf(one.node).list(one.lag);
-        look(readerOf(one.node), store);
+        check(readerOf(one.node), store);
         break;
       case 'watch':
         readerOf(one.node).watch();
-        look(readerOf(one.node), store);
+        check(readerOf(one.node), store);
         break;
       case 'feed':
         if (one.from !== one.to) {
-          late = readerOf(one.from).tell(readerOf(one.to).revision);
-          readerOf(one.to).hear(late);
-          look(readerOf(one.to), store);
+          lastDelta = readerOf(one.from).deltaFor(readerOf(one.to).revision);
+          readerOf(one.to).receive(lastDelta);
+          check(readerOf(one.to), store);
         }
         break;
       case 'late-feed':
-        if (late !== undefined) {
-          readerOf(one.to).hear(late);
-          look(readerOf(one.to), store);
+        if (lastDelta !== undefined) {
+          readerOf(one.to).receive(lastDelta);
+          check(readerOf(one.to), store);
         }
         break;
       case 'restart':
@@ -229,16 +232,16 @@
         break;
     }
   }
-  for (const reader of doAllList ? readers : []) {
+  for (const reader of listAtEnd ? readers : []) {
     reader.list(0);
-    look(reader, store);
+    check(reader, store);
   }
   return readers;
 }
 
-describe('entries of back ends that start again under their names', () => {
-  it('do not come back with an old list to a node that got the whole state from a peer', () => {
-    const [, reader] = play(
+describe('entries of back ends that restart under the same names', () => {
+  it('do not reappear from an outdated list on a node that got the full state from a peer', () => {
+    const [, reader] = simulate(
       [
         { type: 'birth', name: 'a', port: 1 },
         { type: 'list', node: 0, lag: 0 },
@@ -250,14 +253,14 @@
       () => undefined,
       false,
     );
-    expect(reader?.inForce()).to.deep.equal([]);
+    expect(reader?.endpoints()).to.deep.equal([]);
   });
 
-  it('are in force as of the newest revision that a node knows all of', () => {
+  it('match the store at the revision up to which the replica is complete', () => {
     const property = fc.property(fc.array(step, { maxLength: 40, size: 'max' }), (steps) => {
-      play(steps, (reader, store) => {
+      simulate(steps, (reader, store) => {
         if (reader.revision > 0) {
-          expect(reader.inForce()).to.deep.equal(modelAt(store, reader.revision));
+          expect(reader.endpoints()).to.deep.equal(expectedAt(store, reader.revision));
         }
       });
     });
