--- a/src/dissemination/dissemination.ts
+++ b/src/dissemination/dissemination.ts
@@ -1,6 +1,6 @@
 /**
- * Spreads the three documents over the overlay: a small change is pushed as a delta, a larger one is
- * announced and fetched; the digest on heartbeats finds what was missed.
+ * Replicates the three documents over the overlay: a small change is pushed as a delta, a larger
+ * one is announced and fetched. The digest in heartbeats detects missed changes.
  */
 import type { ControlEffect, CounterSink, RandomSource } from '../control/control-event.js';
 import { CONTROL_COUNTERS } from '../control/control-counters.js';
@@ -23,19 +23,19 @@
 import { SnapshotServer } from './snapshot-server.js';
 import { VersionAnnouncer } from './version-announcer.js';
 
-/** What dissemination needs. */
+/** Options of the dissemination. */
 export interface DisseminationOptions {
   readonly self: PeerIdentity;
   readonly store: DocumentStore;
   readonly random: RandomSource;
   readonly counters: CounterSink;
-  /** Least time between two announcements to a neighbour without a change, in milliseconds. */
+  /** Minimum interval between announcements to a neighbour without a change, in milliseconds. */
   readonly announcementIntervalMs: number;
 }
 
-/** The replication of documents between overlay neighbours. */
+/** Replicates documents between overlay neighbours. */
 export class Dissemination {
-  /** Where documents come into force. */
+  /** Adopts documents from all sources. */
   readonly documents: DocumentAdopter;
   private readonly store: DocumentStore;
   private readonly counters: CounterSink;
@@ -67,23 +67,23 @@
     return this.announcer.heartbeatMessage();
   }
 
-  /** The newest source version that was refused and not overtaken, with the reason. */
+  /** The newest refused source version that no adopted version supersedes, with the reason. */
   rejectedSource(): SourceRejection | undefined {
     return this.rejections.current();
   }
 
-  /** What each neighbour is known to hold, by its id; neighbours that have not said are left out. */
+  /** Versions held by each neighbour, by its id; omits neighbours whose versions are unknown. */
   neighbourVersions(): Map<string, HeldVersions> {
     const versions = new Map<string, HeldVersions>();
-    for (const [id, { known }] of this.announcer.neighbours) {
-      if (known !== undefined) {
-        versions.set(id, known);
+    for (const [id, { held }] of this.announcer.neighbours) {
+      if (held !== undefined) {
+        versions.set(id, held);
       }
     }
     return versions;
   }
 
-  /** Time of the next `wake` that is needed, in milliseconds. */
+  /** Time at which {@link wake} must be called next, in milliseconds. */
   nextWakeAt(): number {
     const { source, operator, machines } = this.fetchers;
     return Math.min(
@@ -94,7 +94,7 @@
     );
   }
 
-  /** Acts on what is due. */
+  /** Handles all timers that are due. */
   wake(nowMs: number, effects: ControlEffect[]): void {
     this.server.wake(nowMs, effects);
     for (const name of DOCUMENT_NAMES) {
@@ -102,39 +102,39 @@
     }
   }
 
-  /** The node was paused: outstanding fetches get their whole time again. */
-  grantGrace(nowMs: number): void {
+  /** Restarts the timeouts of outstanding fetches after a pause of this process. */
+  restartTimeouts(nowMs: number): void {
     for (const name of DOCUMENT_NAMES) {
-      this.fetchers[name].grantGrace(nowMs);
+      this.fetchers[name].restartTimeouts(nowMs);
     }
   }
 
-  /** A neighbour was confirmed: tell it what is held here. */
+  /** Adds a confirmed neighbour and sends it the held versions and the current rejection. */
   addNeighbour(peer: PeerIdentity, nowMs: number, effects: ControlEffect[]): void {
     this.announcer.add(peer, nowMs, effects);
-    this.rejections.tell(peer.id, effects);
+    this.rejections.sendCurrent(peer.id, effects);
   }
 
-  /** A neighbour is no longer one. */
+  /** Removes a peer that is no longer a neighbour. */
   removeNeighbour(peerId: string, nowMs: number, effects: ControlEffect[]): void {
     this.announcer.neighbours.delete(peerId);
     this.server.removePeer(peerId);
     for (const name of DOCUMENT_NAMES) {
       const fetcher = this.fetchers[name];
-      const wasWaiting = fetcher.isWaitingFor(peerId);
+      const wasFetching = fetcher.isWaitingFor(peerId);
       fetcher.removeNeighbour(peerId);
-      if (wasWaiting) {
-        fetcher.consider(nowMs, effects);
+      if (wasFetching) {
+        fetcher.scheduleFetch(nowMs, effects);
       }
     }
   }
 
-  /** The link of a peer that was no neighbour closed. */
+  /** Ends the transfers to a peer whose link closed. */
   removePeer(peerId: string): void {
     this.server.removePeer(peerId);
   }
 
-  /** Handles a message; those of other parts of the control plane are left alone. */
+  /** Handles a message; ignores those for other parts of the control plane. */
   handleMessage(from: string, message: PeerMessage, nowMs: number, effects: ControlEffect[]): void {
     switch (message.type) {
       case 'heartbeat':
@@ -154,7 +154,7 @@
         break;
       case 'fetch-refused':
         this.fetchers[message.document].refused(from, message.retryAfterMs, nowMs);
-        this.fetchers[message.document].consider(nowMs, effects);
+        this.fetchers[message.document].scheduleFetch(nowMs, effects);
         break;
       case 'rejection':
         this.documents.learnRejection(message.version, message.reason, from, effects);
@@ -180,7 +180,7 @@
       if (!this.store.wants(name, versions[name])) {
         fetcher.answered(from);
       }
-      fetcher.consider(nowMs, effects);
+      fetcher.scheduleFetch(nowMs, effects);
     }
   }
 
@@ -193,7 +193,7 @@
     const name = message.document;
     const fetcher = this.fetchers[name];
     const held = this.store.held(name);
-    this.announcer.noteKnown(from, name, message.to);
+    this.announcer.recordKnownVersion(from, name, message.to);
     fetcher.answered(from);
     if (this.store.wants(name, message.to) && message.from.number <= held.version.number) {
       try {
@@ -204,23 +204,26 @@
           throw error;
         }
         this.counters.add(CONTROL_COUNTERS.deltaMismatches);
-        this.noteMismatch(fetcher, from, message.from.number === 0, nowMs);
+        this.handleMismatch(fetcher, from, message.from.number === 0, nowMs);
       }
     }
-    fetcher.consider(nowMs, effects);
+    fetcher.scheduleFetch(nowMs, effects);
   }
 
-  /** A change that did not fit is followed by a whole fetch; a whole that did not, by another peer. */
-  private noteMismatch(
+  /**
+   * Handles a digest mismatch: after an incremental delta, the next fetch requests the full
+   * document; after a full document, the peer is skipped for a while.
+   */
+  private handleMismatch(
     fetcher: DocumentFetcher,
     from: string,
-    isWhole: boolean,
+    isFullDocument: boolean,
     nowMs: number,
   ): void {
-    if (isWhole) {
-      fetcher.distrust(from, nowMs);
+    if (isFullDocument) {
+      fetcher.digestMismatched(from, nowMs);
     } else {
-      fetcher.demandWhole();
+      fetcher.requireFullDocument();
     }
   }
 
@@ -232,21 +235,21 @@
   ): void {
     const name = message.document;
     const fetcher = this.fetchers[name];
-    const received = fetcher.takeChunk(from, message, nowMs);
+    const received = fetcher.receiveChunk(from, message, nowMs);
     if (received === undefined) {
       return;
     }
     try {
       const document = this.store.memo.assemble(name, received.version, received.entries);
-      this.announcer.noteKnown(from, name, received.version);
+      this.announcer.recordKnownVersion(from, name, received.version);
       this.documents.adopt(name, document, from, nowMs, effects);
     } catch (error) {
       if (!(error instanceof DeltaMismatchError)) {
         throw error;
       }
       this.counters.add(CONTROL_COUNTERS.snapshotMismatches);
-      fetcher.distrust(from, nowMs);
+      fetcher.digestMismatched(from, nowMs);
     }
-    fetcher.consider(nowMs, effects);
+    fetcher.scheduleFetch(nowMs, effects);
   }
 }
--- a/src/membership/member-flood.ts
+++ b/src/membership/member-flood.ts
@@ -1,30 +1,31 @@
 /**
  * Batches claims about members and floods them over the overlay. A claim is sent once on each link
- * on which it was not heard. Departures go out at once; the rest waits a little, so that batches grow
- * and much of it is heard from the neighbours before it would be sent to them.
+ * on which it was not received. Departures are sent after a short delay. Other claims are delayed
+ * longer, so that batches grow and many claims arrive from neighbours before they would be sent to
+ * them.
  */
 import type { ControlEffect, CounterSink, RandomSource } from '../control/control-event.js';
 import { CONTROL_COUNTERS } from '../control/control-counters.js';
 import type { MemberUpdate } from '../wire/message.js';
 
-/** Claims sent in one batch at most. */
+/** Maximum number of claims in one batch. */
 export const MAX_UPDATES_PER_BATCH = 64;
-/** Longest wait of a departure before it is sent, in milliseconds. */
+/** Maximum delay before a departure is sent, in milliseconds. */
 export const MAX_URGENT_DELAY_MS = 80;
-/** Longest wait of other claims, in milliseconds; less than suspects have to refute by far. */
+/** Maximum delay of other claims, in milliseconds; far shorter than the refutation timeout. */
 export const MAX_BATCH_DELAY_MS = 800;
-/** Shortest wait, as a share of the longest. */
+/** Minimum delay, as a share of the maximum. */
 const MIN_DELAY_SHARE = 0.25;
 
 interface PendingUpdate {
   readonly update: MemberUpdate;
-  /** Neighbours from which the claim was heard; they need not be told. */
-  readonly heardFrom: string[];
+  /** Neighbours from which the claim was received; it is not sent to them. */
+  readonly receivedFrom: string[];
 }
 
-/** Claims that wait to be flooded. */
+/** Queues claims and floods them in batches. */
 export class MemberFlood {
-  /** In the order in which they are sent. */
+  /** Queues in sending order. */
   private readonly queues: Record<'leaving' | 'alive' | 'accused', Map<string, PendingUpdate>> = {
     leaving: new Map(),
     alive: new Map(),
@@ -42,37 +43,38 @@
     return this.flushAt;
   }
 
-  /** Queues a claim that was learned from `from`, or found out here; it replaces an older one. */
+  /**
+   * Queues a claim received from `from`, or made by this node; replaces the queued claim, if any.
+   */
   queue(update: MemberUpdate, from: string | undefined, nowMs: number): void {
     const memberId = update.member.id;
     for (const queue of Object.values(this.queues)) {
       queue.delete(memberId);
     }
-    const pending = { update, heardFrom: from === undefined ? [] : [from] };
+    const pending = { update, receivedFrom: from === undefined ? [] : [from] };
     this.queues[queueName(update)].set(memberId, pending);
-    const longest = update.status === 'leaving' ? MAX_URGENT_DELAY_MS : MAX_BATCH_DELAY_MS;
-    this.flushAt = Math.min(this.flushAt, nowMs + this.delay(longest));
+    const maxDelayMs = update.status === 'leaving' ? MAX_URGENT_DELAY_MS : MAX_BATCH_DELAY_MS;
+    this.flushAt = Math.min(this.flushAt, nowMs + this.delay(maxDelayMs));
   }
 
-  /** The same claim came from another neighbour before it was passed on. */
-  heardAgain(update: MemberUpdate, from: string): void {
+  /** Records that a neighbour sent a claim that is still queued, so that it is not sent back. */
+  duplicateReceived(update: MemberUpdate, from: string): void {
     const pending = this.queues[queueName(update)].get(update.member.id);
     const held = pending?.update;
-    const isSame =
+    const isSameClaim =
       held?.status === update.status && held.member.incarnation === update.member.incarnation;
-    if (isSame) {
-      pending?.heardFrom.push(from);
+    if (isSameClaim) {
+      pending?.receivedFrom.push(from);
     }
   }
 
-  /** Sends one batch to the neighbours. */
   flush(neighbours: Iterable<string>, nowMs: number, effects: ControlEffect[]): void {
     const batch = this.takeBatch();
     const hasMore = Object.values(this.queues).some((queue) => queue.size > 0);
     this.flushAt = hasMore ? nowMs + this.delay(MAX_BATCH_DELAY_MS) : Infinity;
     for (const neighbourId of neighbours) {
       const updates = batch
-        .filter((pending) => !pending.heardFrom.includes(neighbourId))
+        .filter((pending) => !pending.receivedFrom.includes(neighbourId))
         .map((pending) => pending.update);
       if (updates.length > 0) {
         this.counters.add(CONTROL_COUNTERS.memberUpdatesSent, updates.length);
@@ -81,8 +83,8 @@
     }
   }
 
-  private delay(longestMs: number): number {
-    return longestMs * (MIN_DELAY_SHARE + this.random() * (1 - MIN_DELAY_SHARE));
+  private delay(maxDelayMs: number): number {
+    return maxDelayMs * (MIN_DELAY_SHARE + this.random() * (1 - MIN_DELAY_SHARE));
   }
 
   private takeBatch(): PendingUpdate[] {
--- a/src/peers/feed-delta.ts
+++ b/src/peers/feed-delta.ts
@@ -59,7 +59,7 @@
   change: StoreChange,
   sinceRevision: number,
 ): FeedChange {
-  const previous = replica.versionBefore(change.key);
+  const previous = replica.previousVersion(change.key);
   const holdsBase = previous !== undefined && previous.revision <= sinceRevision;
   if (!holdsBase || previous.value === undefined || change.value === undefined) {
     return change;
--- a/src/peers/peer-exchange.ts
+++ b/src/peers/peer-exchange.ts
@@ -181,7 +181,7 @@
       return;
     }
     this.isFetching = true;
-    const { replica, changesPort, onDeltaApplied: onLearned } = this.options;
+    const { replica, changesPort, onDeltaApplied } = this.options;
     const feedDelta = await fetchDelta(
       from,
       changesPort,
@@ -194,8 +194,8 @@
     }
     const delta = resolveFeedDelta(replica, feedDelta);
     this.needsFullState = delta === undefined;
-    if (delta !== undefined && replica.takeDelta(delta)) {
-      onLearned(from);
+    if (delta !== undefined && replica.applyDelta(delta)) {
+      onDeltaApplied(from);
     }
   }
 }
--- a/src/peers/source-choice.ts
+++ b/src/peers/source-choice.ts
@@ -256,8 +256,8 @@
   }
 
   /** How long a feed may be idle, in milliseconds. */
-  private feedTimeoutMs({ confirmedAtMs, receivingSinceMs: deliveringSinceMs }: Feed): number {
-    const hasBegun = confirmedAtMs !== NEVER_MS || deliveringSinceMs !== undefined;
+  private feedTimeoutMs({ confirmedAtMs, receivingSinceMs }: Feed): number {
+    const hasBegun = confirmedAtMs !== NEVER_MS || receivingSinceMs !== undefined;
     return hasBegun
       ? FEED_IDLE_TIMEOUT_MS
       : FEED_OPEN_TIMEOUT_MS * OPEN_TIMEOUT_FACTOR ** this.timedOutFeeds;
@@ -345,7 +345,7 @@
   }
 
   private usablePredecessors(nowMs: number): readonly string[] {
-    const { predecessors: predecessors } = this.position;
+    const { predecessors } = this.position;
     return this.avoidedUntilMs.size === 0
       ? predecessors
       : predecessors.filter((peer) => nowMs >= (this.avoidedUntilMs.get(peer) ?? NEVER_MS));
--- a/test/control/fleet-membership.test.ts
+++ b/test/control/fleet-membership.test.ts
@@ -2,44 +2,44 @@
 import { ControlPlane } from '../../src/control/control-plane.js';
 import { identityOf, sourceValues } from './control-fixtures.js';
 import {
-  DEATH_MS,
-  HEAL_MS,
+  DEAD_DETECTION_MS,
+  RECOVERY_MS,
   SETTLE_MS,
-  assertOnlyRose,
+  assertVersionsOnlyIncrease,
   countOf,
   nodeAt,
-  opinions,
+  statusesOf,
   sourceNumbers,
   startFleet,
 } from './test-fleet.js';
 
 describe('control plane: membership', () => {
-  it('holds a killed node suspect, then dead, and alive again after a restart', () => {
+  it('reports a killed node as suspect, then dead, and alive again after a restart', () => {
     const fleet = startFleet(10);
     const victim = nodeAt(fleet, 4);
     fleet.pump.kill(victim);
     fleet.pump.run(5_000);
-    expect([...opinions(fleet, victim)]).to.deep.equal(['suspect']);
-    fleet.pump.run(DEATH_MS);
-    expect([...opinions(fleet, victim)]).to.deep.equal(['dead']);
+    expect([...statusesOf(fleet, victim)]).to.deep.equal(['suspect']);
+    fleet.pump.run(DEAD_DETECTION_MS);
+    expect([...statusesOf(fleet, victim)]).to.deep.equal(['dead']);
     fleet.pump.restart(victim, { seeds: [identityOf(0)] });
     fleet.pump.run(SETTLE_MS);
-    expect([...opinions(fleet, victim)]).to.deep.equal(['alive']);
+    expect([...statusesOf(fleet, victim)]).to.deep.equal(['alive']);
   });
 
-  it('tells everyone of a planned stop within a second, and blames nobody for it', () => {
+  it('announces a planned stop to all nodes within a second, without any suspicion', () => {
     const fleet = startFleet(30);
-    const leaver = nodeAt(fleet, 4);
-    fleet.pump.deliver(leaver, { type: 'stop' });
+    const leavingNode = nodeAt(fleet, 4);
+    fleet.pump.deliver(leavingNode, { type: 'stop' });
     fleet.pump.run(1_000);
-    expect([...opinions(fleet, leaver)]).to.deep.equal(['leaving']);
-    fleet.pump.kill(leaver);
-    fleet.pump.run(DEATH_MS);
-    expect([...opinions(fleet, leaver)]).to.deep.equal(['leaving']);
+    expect([...statusesOf(fleet, leavingNode)]).to.deep.equal(['leaving']);
+    fleet.pump.kill(leavingNode);
+    fleet.pump.run(DEAD_DETECTION_MS);
+    expect([...statusesOf(fleet, leavingNode)]).to.deep.equal(['leaving']);
     expect(countOf(fleet, 'ferryspool_member_suspicions_total')).to.equal(0);
   });
 
-  it('clears a node that only closed a link', () => {
+  it('does not suspect a node that only closed its links', () => {
     const fleet = startFleet(10);
     const [left, right] = [nodeAt(fleet, 0), nodeAt(fleet, 1)];
     const before = countOf(fleet, 'ferryspool_member_suspicions_total');
@@ -49,81 +49,84 @@
     }
     fleet.pump.run(SETTLE_MS);
     expect(countOf(fleet, 'ferryspool_member_suspicions_total')).to.equal(before);
-    expect([...opinions(fleet, left)]).to.deep.equal(['alive']);
-    expect([...opinions(fleet, right)]).to.deep.equal(['alive']);
+    expect([...statusesOf(fleet, left)]).to.deep.equal(['alive']);
+    expect([...statusesOf(fleet, right)]).to.deep.equal(['alive']);
   });
 
-  /** Blames its neighbours for its own pause. */
-  class ImpatientPlane extends ControlPlane {
-    protected override grantGrace(): void {
+  /** Mutant that does not restart timeouts after a pause, and so suspects its neighbours. */
+  class NoPauseHandlingPlane extends ControlPlane {
+    protected override restartTimeouts(): void {
       return;
     }
   }
 
   for (const [planeClass, expected] of [
     [ControlPlane, 0],
-    [ImpatientPlane, 1],
+    [NoPauseHandlingPlane, 1],
   ] as const) {
-    it(`after a pause of its own, ${planeClass.name} accuses ${expected === 0 ? 'nobody' : 'others'}`, () => {
+    it(`after a pause of its process, ${planeClass.name} suspects ${expected === 0 ? 'no peer' : 'peers'}`, () => {
       const fleet = startFleet(10, 1, planeClass);
       const paused = nodeAt(fleet, 4);
       paused.pausedUntil = fleet.pump.nowMs + 10_000;
       fleet.pump.run(9_000);
-      const wakesLate = paused.plane.handle({ type: 'wake' }, fleet.pump.nowMs);
-      const hungUp = wakesLate.filter((effect) => effect.type === 'hang-up').length;
+      const effects = paused.plane.handle({ type: 'wake' }, fleet.pump.nowMs);
+      const hungUp = effects.filter((effect) => effect.type === 'hang-up').length;
       expect(Math.min(1, hungUp)).to.equal(expected);
       if (expected === 0) {
-        expect(wakesLate[0]).to.have.nested.property('message.type', 'heartbeat');
+        expect(effects[0]).to.have.nested.property('message.type', 'heartbeat');
       }
     });
   }
 
-  it('takes back a paused node once it wakes', () => {
+  it('reports a paused node as alive again after it resumes', () => {
     const fleet = startFleet(10);
     const paused = nodeAt(fleet, 4);
     paused.pausedUntil = fleet.pump.nowMs + 40_000;
     fleet.pump.run(39_000);
-    expect([...opinions(fleet, paused)]).to.deep.equal(['dead']);
+    expect([...statusesOf(fleet, paused)]).to.deep.equal(['dead']);
     fleet.pump.publish(nodeAt(fleet, 0), 8, sourceValues(1));
-    fleet.pump.run(1_000 + HEAL_MS);
-    expect([...opinions(fleet, paused)]).to.deep.equal(['alive']);
+    fleet.pump.run(1_000 + RECOVERY_MS);
+    expect([...statusesOf(fleet, paused)]).to.deep.equal(['alive']);
     expect([...sourceNumbers(fleet)]).to.deep.equal([8]);
     for (const node of fleet.nodes) {
-      expect([...opinions(fleet, node)]).to.deep.equal(['alive']);
+      expect([...statusesOf(fleet, node)]).to.deep.equal(['alive']);
     }
   });
 
-  for (const [name, isApart] of [
-    ['a region is cut off', (from: string, to: string) => from.slice(0, 8) !== to.slice(0, 8)],
+  for (const [name, isPartitioned] of [
+    ['a region is partitioned', (from: string, to: string) => from.slice(0, 8) !== to.slice(0, 8)],
     [
-      'a zone is cut off',
+      'a zone is partitioned',
       (from: string, to: string) => (from === 'region-1-0') !== (to === 'region-1-0'),
     ],
-    ['a zone is not heard', (from: string, to: string) => from === 'region-1-0' && to !== from],
+    [
+      'outbound messages of a zone are lost',
+      (from: string, to: string) => from === 'region-1-0' && to !== from,
+    ],
   ] as const) {
-    it(`${name} for an hour, and joins again without falling back`, () => {
+    it(`${name} for an hour, and reconnects without reverting to an older version`, () => {
       const fleet = startFleet(18);
       fleet.pump.publish(nodeAt(fleet, 0), 1, sourceValues(1));
       fleet.pump.run(1_000);
-      fleet.pump.cut((from, to) => isApart(from.zone, to.zone));
+      fleet.pump.cut((from, to) => isPartitioned(from.zone, to.zone));
       fleet.pump.run(1_800_000);
       fleet.pump.publish(nodeAt(fleet, 0), 2, sourceValues(2));
       fleet.pump.publish(nodeAt(fleet, 4), 3, sourceValues(3));
       fleet.pump.run(1_800_000);
       fleet.pump.heal();
-      fleet.pump.run(HEAL_MS);
+      fleet.pump.run(RECOVERY_MS);
       expect([...sourceNumbers(fleet)]).to.deep.equal([3]);
-      assertOnlyRose(fleet);
+      assertVersionsOnlyIncrease(fleet);
       fleet.pump.run(60_000);
       for (const node of fleet.nodes) {
-        expect([...opinions(fleet, node)]).to.deep.equal(['alive']);
+        expect([...statusesOf(fleet, node)]).to.deep.equal(['alive']);
       }
     });
   }
 });
 
 describe('control plane: overlay', () => {
-  it('keeps the number of links bounded whatever the size of the fleet', () => {
+  it('bounds the number of links independently of the fleet size', () => {
     const averages = [40, 120].map((size) => {
       const fleet = startFleet(size);
       fleet.pump.run(60_000);
@@ -145,7 +148,7 @@
     }
   });
 
-  it('exchanges neighbours now and then without blaming those it leaves', () => {
+  it('exchanges neighbours periodically without suspecting the replaced ones', () => {
     const fleet = startFleet(20);
     const peers = (): string[] =>
       fleet.nodes.map((node) =>
@@ -162,7 +165,7 @@
     expect(countOf(fleet, 'ferryspool_member_suspicions_total')).to.equal(suspicions);
   });
 
-  it('sends heartbeats alone in a quiet fleet', () => {
+  it('sends only heartbeats in an idle fleet', () => {
     const fleet = startFleet(20);
     fleet.pump.run(60_000);
     fleet.nodes.forEach((node) => node.sent.splice(0));
--- a/test/peers/peer-monitor.test.ts
+++ b/test/peers/peer-monitor.test.ts
@@ -61,7 +61,7 @@
           ? monitor.recordReceived('owes', 1_600)
           : monitor.receive(
               'owes',
-              { kind: kind, revision: 1, ageMs: 0, suspicionDigest: 0 },
+              { kind, revision: 1, ageMs: 0, suspicionDigest: 0 },
               OWN,
               1_600,
             );
