--- a/test/peers/peer-monitor.test.ts
+++ b/test/peers/peer-monitor.test.ts
@@ -51,17 +51,17 @@
   });
 
   const kinds = ['answer', 'acknowledgement', 'ping'] as const;
-  for (const kind of kinds) {
-    it(`reports an unresponsive peer as responsive again after its ${kind}`, () => {
+  for (const received of kinds) {
+    it(`reports an unresponsive peer as responsive again after its ${received}`, () => {
       const monitor = monitorOf();
       run(monitor, 0, 1_500, 0);
       expect(monitor.isUnresponsive('owes')).to.equal(true);
       const effects =
-        kind === 'answer'
+        received === 'answer'
           ? monitor.recordReceived('owes', 1_600)
           : monitor.receive(
               'owes',
-              { kind, revision: 1, ageMs: 0, suspicionDigest: 0 },
+              { kind: received, revision: 1, ageMs: 0, suspicionDigest: 0 },
               OWN,
               1_600,
             );
