--- a/src/peers/peer-exchange.ts
+++ b/src/peers/peer-exchange.ts
@@ -181,7 +181,7 @@
       return;
     }
     this.isFetching = true;
-    const { replica, changesPort, onDeltaApplied: onLearned } = this.options;
+    const { replica, changesPort, onDeltaApplied } = this.options;
     const feedDelta = await fetchDelta(
       from,
       changesPort,
@@ -195,7 +195,7 @@
     const delta = resolveFeedDelta(replica, feedDelta);
     this.needsFullState = delta === undefined;
     if (delta !== undefined && replica.applyDelta(delta)) {
-      onLearned(from);
+      onDeltaApplied(from);
     }
   }
 }
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -167,7 +167,7 @@
   }
 
   private handleProof(step: Extract<HandshakeStep, { type: 'proved' }>): void {
-    const { role, usesTls: usesTls, owner } = this.options;
+    const { role, usesTls, owner } = this.options;
     this.peer = step.peer;
     if (!usesTls) {
       const peerRole: LinkRole = role === 'dialer' ? 'acceptor' : 'dialer';
