--- a/test/proxy/endpoint-faults.test.ts
+++ b/test/proxy/endpoint-faults.test.ts
@@ -341,7 +341,7 @@
 });
 
 function summaryOf(result: CallerResult): string {
-  if (!result.isWhole) {
+  if (!result.isComplete) {
     return 'broken';
   }
   if (result.body === 'healthy') {
--- a/test/proxy/paused-reading.test.ts
+++ b/test/proxy/paused-reading.test.ts
@@ -1,9 +1,10 @@
 /**
- * Requests that lie unread behind answers that wait.
+ * Guards against a deadline that ignores the time for which a pipelined request was unread.
  *
- * While more than a bound of answers wait for the one before them, or for a caller that does not read, Node reads
- * nothing more of the connection. What comes behind lies in the system meanwhile, and its time counted from the
- * moment at which it was read: in a soak, back ends were told 4,928 ms for a request that had 3,998 ms left.
+ * While more than a limit of answer bytes is queued behind an earlier answer, or for a caller that does not read,
+ * Node.js stops reading from the connection. Later requests stay in the socket receive buffer. Their deadlines were
+ * counted from the moment at which they were read: in a soak test, back ends received a deadline of 4,928 ms for a
+ * request that had 3,998 ms left.
  */
 import net, { type Socket } from 'node:net';
 import { setTimeout as delay } from 'node:timers/promises';
@@ -22,10 +23,10 @@
 const FIRST_WORK_MS = 800;
 const LARGE_BYTES = 400_000;
 const DEADLINE_MS = 3_000;
-/** Room for the turns of both sides, in milliseconds. */
+/** Tolerance for event loop delays on both sides, in milliseconds. */
 const SLACK_MS = 150;
 
-describe('a request that lies unread behind answers that wait', () => {
+describe('a request that is unread while earlier answers are queued', () => {
   let mesh: TestMesh;
   let target: RawEndpoint;
   let node: TestNode;
@@ -56,13 +57,13 @@
     socket.write(`GET ${path} HTTP/1.1\r\nHost: a\r\nx-deadline-ms: ${deadlineMs}\r\n\r\n`);
   }
 
-  /** The time that the endpoint was given for a request, in milliseconds; undefined while it has not got it. */
-  function givenMs(path: string): number | undefined {
-    const head = target.heads.find((one) => one.includes(path));
+  /** The deadline that the endpoint received with a request, in milliseconds, or undefined before its arrival. */
+  function forwardedDeadlineMs(path: string): number | undefined {
+    const head = target.heads.find((candidate) => candidate.includes(path));
     return head === undefined ? undefined : Number(/x-deadline-ms: (\d+)/i.exec(head)?.[1]);
   }
 
-  it('is given no more time than it has left', async () => {
+  it('is forwarded with no more than its remaining time', async () => {
     send('/first');
     send('/large');
     await until(() => target.heads.length === 2);
@@ -71,13 +72,13 @@
     await until(() => target.heads.length === 3);
     const sentAtMs = performance.now();
     send('/unread');
-    await until(() => givenMs('/unread') !== undefined);
+    await until(() => forwardedDeadlineMs('/unread') !== undefined);
     const leftMs = DEADLINE_MS - (performance.now() - sentAtMs);
-    expect(givenMs('/unread')).to.be.below(leftMs + SLACK_MS);
+    expect(forwardedDeadlineMs('/unread')).to.be.below(leftMs + SLACK_MS);
   });
 
-  /** Guards against a request that is told 504 for time in which it can't have lain unread. */
-  it('has all of its time where it came shortly before the end of the pause', async () => {
+  /** Guards against a 504 answer that counts time during which the request cannot have been unread. */
+  it('keeps its full deadline if it arrives shortly before reading resumes', async () => {
     send('/first');
     send('/large');
     await until(() => target.heads.length === 2);
@@ -86,25 +87,28 @@
     await delay(FIRST_WORK_MS - 3 * SLACK_MS);
     send('/late', FIRST_WORK_MS / 2);
     const sentAtMs = performance.now();
-    await until(() => givenMs('/late') !== undefined || performance.now() > sentAtMs + DEADLINE_MS);
-    expect(givenMs('/late')).to.be.above(FIRST_WORK_MS / 2 - 3 * SLACK_MS);
+    await until(
+      () =>
+        forwardedDeadlineMs('/late') !== undefined || performance.now() > sentAtMs + DEADLINE_MS,
+    );
+    expect(forwardedDeadlineMs('/late')).to.be.above(FIRST_WORK_MS / 2 - 3 * SLACK_MS);
   });
 
-  /** Guards against callers that have more work begun than they read answers. */
-  it('is not begun before the answers that wait have gone out, nor after its caller has left', async () => {
+  /** Guards against callers that start more work than they read answers. */
+  it('is not started before the queued answers are sent, nor after its caller has disconnected', async () => {
     send('/first');
     send('/large');
     await until(() => target.heads.length === 2);
     await delay(SLACK_MS);
     send('/behind');
     await delay(FIRST_WORK_MS / 4);
-    expect(givenMs('/behind')).to.equal(undefined);
+    expect(forwardedDeadlineMs('/behind')).to.equal(undefined);
     socket.destroy();
     await delay(FIRST_WORK_MS);
-    expect(givenMs('/behind')).to.equal(undefined);
+    expect(forwardedDeadlineMs('/behind')).to.equal(undefined);
   });
 
-  it('has all of its time where it came after the pause', async () => {
+  it('keeps its full deadline if it arrives after reading has resumed', async () => {
     send('/first');
     send('/large');
     await until(() => target.heads.length === 2);
@@ -112,7 +116,7 @@
     send('/paused-behind');
     await delay(FIRST_WORK_MS);
     send('/later');
-    await until(() => givenMs('/later') !== undefined);
-    expect(givenMs('/later')).to.be.above(DEADLINE_MS - SLACK_MS);
+    await until(() => forwardedDeadlineMs('/later') !== undefined);
+    expect(forwardedDeadlineMs('/later')).to.be.above(DEADLINE_MS - SLACK_MS);
   });
 });
--- a/test/proxy/planned-stop-model.test.ts
+++ b/test/proxy/planned-stop-model.test.ts
@@ -1,6 +1,6 @@
 /**
- * The planned stop against all that may happen around it, in any order: the product's decisions under a
- * virtual clock. Every short script of a bounded set, and long ones by chance.
+ * Model test of the planned stop: runs the production decision logic under a virtual clock with concurrent events
+ * in any order. Covers every short script over a bounded set of steps, and random long scripts.
  */
 import { expect } from 'chai';
 import fc from 'fast-check';
@@ -8,12 +8,12 @@
 import type { WorldOptions } from './stop/stop-world.js';
 
 const SEED = 20_261_202;
-/** Scripts by chance for each check. */
+/** Random scripts per check. */
 const RUNS = 4_000;
-/** Steps of a script by chance, at most. */
-const LONGEST_SCRIPT = 25;
-/** Steps of each script of the bounded set. */
-const SHORT_SCRIPT = 5;
+/** Maximum number of steps in a random script. */
+const MAX_SCRIPT_STEPS = 25;
+/** Number of steps in each exhaustively tested script. */
+const SHORT_SCRIPT_STEPS = 5;
 
 const SHORT_STEPS: readonly Step[] = [
   { type: 'stop' },
@@ -51,7 +51,7 @@
     }),
   },
 );
-const script = fc.array(step, { maxLength: LONGEST_SCRIPT, size: 'max' });
+const script = fc.array(step, { maxLength: MAX_SCRIPT_STEPS, size: 'max' });
 const options: fc.Arbitrary<WorldOptions> = fc.record({
   isRelayed: fc.boolean(),
   isRepeatable: fc.boolean(),
@@ -80,27 +80,27 @@
 }
 
 describe('the planned stop in a model', () => {
-  it('keeps its promises in every short script', function () {
+  it('keeps its guarantees in every short script', function () {
     this.timeout(120_000);
-    for (const steps of scriptsOf(SHORT_SCRIPT)) {
-      const found = runScript(steps, PLAIN);
-      if (found.length > 0) {
-        expect.fail(`${found.join('; ')} in ${JSON.stringify(steps)}`);
+    for (const steps of scriptsOf(SHORT_SCRIPT_STEPS)) {
+      const violations = runScript(steps, PLAIN);
+      if (violations.length > 0) {
+        expect.fail(`${violations.join('; ')} in ${JSON.stringify(steps)}`);
       }
     }
   });
 
-  it('keeps its promises in long scripts', function () {
+  it('keeps its guarantees in long scripts', function () {
     this.timeout(120_000);
     const { failed, counterexample } = check(PRODUCT);
     const [steps = [], world = PLAIN] = counterexample ?? [];
-    const found = failed ? runScript(steps, world) : [];
-    expect(found, JSON.stringify({ steps, world })).to.deep.equal([]);
+    const violations = failed ? runScript(steps, world) : [];
+    expect(violations, JSON.stringify({ steps, world })).to.deep.equal([]);
     expect(failed).to.equal(false);
   });
 
   for (const { name, ...parts } of WRONG_PARTS) {
-    it(`finds a stop that ${name}`, function () {
+    it(`detects a stop that ${name}`, function () {
       this.timeout(120_000);
       expect(check(parts).failed).to.equal(true);
     });
--- a/test/proxy/reborn-choice.test.ts
+++ b/test/proxy/reborn-choice.test.ts
@@ -1,7 +1,7 @@
 /**
- * A request that has not run at a back end, which starts again under its name meanwhile: the new process may
- * have it, also where the service has no other one, and the configuration that the request began with knows
- * only the one before.
+ * Guards against a request that fails although its endpoint has restarted under the same name. If the previous
+ * process has not run the request, it may be sent to the new one, even if the service has no other endpoint and
+ * the configuration with which the request started holds only the previous process.
  */
 import { expect } from 'chai';
 import {
@@ -15,7 +15,7 @@
   type RawEndpoint,
 } from './rig.js';
 
-describe('a request whose endpoint starts again before the request has run', () => {
+describe('a request whose endpoint restarts before the request has run', () => {
   let mesh: TestMesh;
   const targets: RawEndpoint[] = [];
 
@@ -34,7 +34,7 @@
 
   for (const machine of ['n1', 'n2']) {
     for (const nextMachine of ['n1', 'n2']) {
-      it(`goes to the new process, from beside ${machine} to beside ${nextMachine}`, async () => {
+      it(`is sent to the new process when the endpoint moves from ${machine} to ${nextMachine}`, async () => {
         const next = await startRawEndpoint((socket) => socket.write(rawAnswer('again')));
         const first = await startRawEndpoint((socket) => {
           configure(2_000, nextMachine, next);
@@ -51,7 +51,7 @@
     }
   }
 
-  it('is not sent to the same process again', async () => {
+  it('is not sent to the same process twice', async () => {
     const only = await startRawEndpoint((socket) => {
       configure(1_000, 'n1', only);
       socket.write(rawRefusal());
--- a/test/proxy/reborn-connections.test.ts
+++ b/test/proxy/reborn-connections.test.ts
@@ -1,7 +1,7 @@
 /**
- * Connections that are kept to a back end belong to its process: one that starts again at the same address
- * never hears of them, and where their end did not arrive, as after a loss of power, a request that is sent
- * on one of them is lost, and may have run for all that its caller is told.
+ * Guards against requests on pooled connections to a previous process of an endpoint. A process that restarts at
+ * the same address does not know these connections. If their close was not received, as after a power loss, a
+ * request on one of them is lost, and its caller can only be told that it may have run.
  */
 import { once } from 'node:events';
 import http from 'node:http';
@@ -9,20 +9,20 @@
 import { expect } from 'chai';
 import { call, echoEndpoint, echoService, TestMesh, type TestNode } from './rig.js';
 
-const DISTRUST_PATH = '/lose';
+const DISCONNECT_PATH = '/lose';
 
-describe('connections that are kept to an endpoint', () => {
+describe('pooled connections to an endpoint', () => {
   let mesh: TestMesh;
   let node: TestNode;
   let server: http.Server;
-  /** The connection of each request, in order. */
-  let used: Socket[];
+  /** The connection of each request, in order of arrival. */
+  let requestSockets: Socket[];
 
   beforeEach(async () => {
-    used = [];
+    requestSockets = [];
     server = http.createServer((request, response) => {
-      used.push(request.socket);
-      if (request.url === DISTRUST_PATH) {
+      requestSockets.push(request.socket);
+      if (request.url === DISCONNECT_PATH) {
         request.socket.destroy();
       } else {
         response.end('ok');
@@ -49,30 +49,30 @@
     ]);
   }
 
-  async function served(): Promise<Socket | undefined> {
+  async function callForSocket(): Promise<Socket | undefined> {
     expect((await call(node.callerPort)).status).to.equal(200);
-    return used.at(-1);
+    return requestSockets.at(-1);
   }
 
-  it('serve several requests of one incarnation, whatever else changes of it', async () => {
-    const first = await served();
+  it('are reused for one incarnation across configuration changes', async () => {
+    const first = await callForSocket();
     configure(1_000);
-    expect(await served()).to.equal(first);
+    expect(await callForSocket()).to.equal(first);
   });
 
-  it('serve no request that is for the next one', async () => {
-    const first = await served();
+  it('are not used for requests to the next incarnation', async () => {
+    const first = await callForSocket();
     configure(2_000);
-    const second = await served();
+    const second = await callForSocket();
     expect(second).to.not.equal(first);
-    expect(await served()).to.equal(second);
+    expect(await callForSocket()).to.equal(second);
   });
 
-  it('are trusted anew with the next one', async () => {
-    await served();
-    expect((await call(node.callerPort, { path: DISTRUST_PATH })).status).to.equal(502);
-    expect(await served()).to.not.equal(await served());
+  it('are reused again for the next incarnation after a connection loss', async () => {
+    await callForSocket();
+    expect((await call(node.callerPort, { path: DISCONNECT_PATH })).status).to.equal(502);
+    expect(await callForSocket()).to.not.equal(await callForSocket());
     configure(2_000);
-    expect(await served()).to.equal(await served());
+    expect(await callForSocket()).to.equal(await callForSocket());
   });
 });
--- a/test/proxy/relay-sender.ts
+++ b/test/proxy/relay-sender.ts
@@ -1,4 +1,4 @@
-/** A peer of a node under test that speaks frames to its relay port. */
+/** A peer that exchanges frames with the relay port of a node under test. */
 import http from 'node:http';
 import type { Socket } from 'node:net';
 import {
@@ -8,13 +8,13 @@
 import type { RelayFrame, RequestFrame } from '../../src/proxy/relay/relay-frame.js';
 import { RELAY_PROTOCOL, RELAY_TOKEN_HEADER } from '../../src/proxy/relay/relay-protocol.js';
 
-/** What became of the opening of a connection. */
-export type Opening =
+/** Result of opening a relay connection. */
+export type OpenResult =
   | { readonly kind: 'open'; readonly sender: RelaySender }
   | { readonly kind: 'refused'; readonly status: number };
 
-/** Opens a connection with the token. */
-export function openRelay(port: number, token: string | undefined): Promise<Opening> {
+/** Opens a relay connection, authenticated by `token` if it is given. */
+export function openRelay(port: number, token: string | undefined): Promise<OpenResult> {
   return new Promise((resolve, reject) => {
     const request = http.request({
       host: '127.0.0.1',
@@ -38,7 +38,7 @@
   });
 }
 
-/** The connection. */
+/** The sending end of a relay connection. */
 export class RelaySender {
   readonly received: RelayFrame[] = [];
   isClosed = false;
@@ -58,7 +58,7 @@
     this.connection = new RelayConnection(socket, head, observer);
   }
 
-  /** Sends a request without a body; returns its stream. */
+  /** Sends a request without a body and returns its stream ID. */
   request(fields: Partial<RequestFrame> = {}): number {
     this.streamId += 1;
     this.connection.send({
@@ -89,7 +89,7 @@
     this.connection.send(frame);
   }
 
-  /** The answer or the failure of a stream. */
+  /** Waits for the answer or failure frame of a stream. */
   async outcome(streamId: number): Promise<Extract<RelayFrame, { kind: 'answer' | 'failure' }>> {
     for (;;) {
       for (const frame of this.received) {
--- a/test/proxy/rig.ts
+++ b/test/proxy/rig.ts
@@ -1,4 +1,4 @@
-/** Nodes, endpoints and callers on loopback sockets, for tests of the request path. */
+/** Nodes, endpoints and callers on loopback sockets for tests of the request path. */
 import { once } from 'node:events';
 import http from 'node:http';
 import net, { type AddressInfo, type Socket } from 'node:net';
@@ -17,22 +17,22 @@
 const HOST = '127.0.0.1';
 export const FLEET_KEY = Buffer.from('a key of at least thirty-two bytes');
 
-/** Answers one raw request; `index` counts the requests that the endpoint has got, from 1. */
+/** Responds to one raw request; `index` is the one-based number of the request at this endpoint. */
 export type RawHandler = (socket: Socket, head: string, index: number) => void;
 
-/** An endpoint that speaks raw bytes. */
+/** An endpoint that reads and writes raw HTTP messages. */
 export interface RawEndpoint {
   readonly port: number;
-  /** Request heads in order, cancellations apart. */
+  /** Request heads in order, without cancellations. */
   readonly heads: string[];
-  /** Identities that were cancelled. */
+  /** IDs of the requests that were cancelled. */
   readonly cancelled: string[];
-  /** Everything received, cancellations apart. */
+  /** Complete requests in order, without cancellations. */
   readonly received: string[];
   close(): void;
 }
 
-/** Starts an endpoint; cancellations are answered with `cancelOutcome`, or never when undefined. */
+/** Starts an endpoint that answers cancellations with `cancelOutcome()`, or not at all if that is undefined. */
 export async function startRawEndpoint(
   handle: RawHandler,
   cancelOutcome: () => string | undefined = () => 'unknown',
@@ -50,13 +50,13 @@
       pending += chunk.toString('latin1');
       for (let end = pending.indexOf('\r\n\r\n'); end >= 0; end = pending.indexOf('\r\n\r\n')) {
         const head = pending.slice(0, end);
-        const wholeLength = requestLength(pending, head);
-        if (wholeLength === undefined || pending.length < wholeLength) {
+        const requestBytes = requestLength(pending, head);
+        if (requestBytes === undefined || pending.length < requestBytes) {
           break;
         }
         const cancel = /^POST \/cancel\/(\S+)/.exec(head);
-        const request = pending.slice(0, wholeLength);
-        pending = pending.slice(wholeLength);
+        const request = pending.slice(0, requestBytes);
+        pending = pending.slice(requestBytes);
         if (cancel) {
           cancelled.push(cancel[1] ?? '');
           answerCancel(socket, cancelOutcome());
@@ -77,17 +77,17 @@
   return { port: (server.address() as AddressInfo).port, heads, cancelled, received, close };
 }
 
-/** A whole answer with a length. */
+/** A complete answer with a Content-Length. */
 export function rawAnswer(body: string, headers = '', status = '200 OK'): string {
   return `HTTP/1.1 ${status}\r\nContent-Length: ${Buffer.byteLength(body)}\r\n${headers}\r\n${body}`;
 }
 
-/** A refusal before the start. */
+/** An answer that refuses a request before it has started. */
 export function rawRefusal(headers = ''): string {
   return rawAnswer('', `x-not-started: 1\r\n${headers}`, '503 Service Unavailable');
 }
 
-/** Length of the first request in `text`, or undefined while the end of its chunks is missing. */
+/** Length of the first request in `text`, or undefined if its last chunk is missing. */
 function requestLength(text: string, head: string): number | undefined {
   if (/transfer-encoding: chunked/i.test(head)) {
     const end = text.indexOf('\r\n0\r\n\r\n', head.length);
@@ -102,7 +102,6 @@
   }
 }
 
-/** One node under test. */
 export interface TestNode {
   readonly id: string;
   readonly proxy: RequestProxy;
@@ -111,7 +110,7 @@
   readonly counters: Map<string, number>;
 }
 
-/** Nodes that share a configuration. */
+/** Nodes that share one configuration. */
 export class TestMesh {
   readonly nodes: TestNode[] = [];
   readonly statuses = new Map<string, MemberStatus>();
@@ -152,7 +151,7 @@
     return node;
   }
 
-  /** A valid relay token of the machine. */
+  /** Issues a valid relay token for the machine. */
   tokenOf(machineId: string): string {
     return new RelayTokenIssuer(FLEET_KEY, machineId).current(Date.now());
   }
@@ -167,7 +166,7 @@
   }
 }
 
-/** A service `echo` with one route for everything. */
+/** A service `echo` with one route for all paths. */
 export function echoService(
   route: Record<string, unknown> = {},
   service: Record<string, unknown> = {},
@@ -192,13 +191,13 @@
   };
 }
 
-/** What a caller got. */
+/** The answer that a caller received. */
 export interface CallerResult {
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: string;
-  /** Whether the answer was whole; a broken connection is false. */
-  readonly isWhole: boolean;
+  /** False if the connection closed before the end of the answer. */
+  readonly isComplete: boolean;
 }
 
 /** Options of {@link call}. */
@@ -210,7 +209,7 @@
   readonly agent?: http.Agent;
 }
 
-/** One request of a caller. A connection that breaks before the head gives status 0. */
+/** Sends one request. A connection that fails before the response head gives status 0. */
 export function call(port: number, options: CallOptions = {}): Promise<CallerResult> {
   return new Promise((resolve) => {
     const request = http.request({
@@ -221,7 +220,7 @@
       headers: options.headers ?? {},
       agent: options.agent ?? false,
     });
-    request.on('error', () => resolve({ status: 0, headers: {}, body: '', isWhole: false }));
+    request.on('error', () => resolve({ status: 0, headers: {}, body: '', isComplete: false }));
     request.on('response', (answer) => {
       let body = '';
       answer.setEncoding('latin1');
@@ -231,14 +230,14 @@
       answer.on('error', () => undefined);
       answer.on('close', () => {
         const { statusCode: status = 0, headers, complete: isWhole } = answer;
-        resolve({ status, headers, body, isWhole });
+        resolve({ status, headers, body, isComplete: isWhole });
       });
     });
     request.end(options.body);
   });
 }
 
-/** Sends raw bytes and resolves with all that came back when the connection closed. */
+/** Sends raw bytes and resolves with all received data once the connection has closed. */
 export function callRaw(port: number, bytes: string, endAfterMs?: number): Promise<string> {
   return new Promise((resolve) => {
     const socket = net.connect(port, HOST);
@@ -255,7 +254,7 @@
   });
 }
 
-/** A port on which nothing listens. */
+/** Returns a port without a listener. */
 export async function closedPort(): Promise<number> {
   const server = net.createServer();
   const port = await listen(server);
@@ -263,14 +262,14 @@
   return port;
 }
 
-/** Resolves once `condition` holds; polls, and leaves the bound to the test's timeout. */
+/** Polls until `condition` holds, without a limit other than the timeout of the test. */
 export async function until(condition: () => boolean): Promise<void> {
   while (!condition()) {
     await new Promise((resolve) => setTimeout(resolve, 2));
   }
 }
 
-/** Uniform numbers in [0, 1) from a seed (mulberry32). */
+/** Creates a seeded generator of uniform numbers in [0, 1) (mulberry32). */
 export function seededRandom(seed: number): () => number {
   let state = seed;
   return () => {
--- a/test/proxy/signal-age.test.ts
+++ b/test/proxy/signal-age.test.ts
@@ -1,23 +1,23 @@
-/** Guards against a planned stop that counts from when its handler ran instead of from its signal. */
+/** Guards against a planned stop timed from the run of its signal handler instead of from the signal. */
 import { expect } from 'chai';
 import { CHECK_INTERVAL_MS } from '../../src/clock/shared-interval.js';
 import { EventLoopLag } from '../../src/proxy/loop-lateness.js';
 import { PauseDetector } from '../../src/proxy/pause-detector.js';
 
 describe('the age of a signal', () => {
-  it('is nothing in a process that looks in time', () => {
+  it('is zero if the pause detector ticks on time', () => {
     const pauses = new PauseDetector(0);
     pauses.tick(CHECK_INTERVAL_MS);
     expect(pauses.signalAgeMs(2 * CHECK_INTERVAL_MS)).to.equal(0);
   });
 
-  it('is the time since the last look where the process did not run since', () => {
+  it('is the time since the last tick if the process has not run since then', () => {
     const pauses = new PauseDetector(0);
     pauses.tick(100);
     expect(pauses.signalAgeMs(900)).to.equal(800);
   });
 
-  it('is the same where a late look came within a look interval before', () => {
+  it('is counted from the tick before a late tick for one check interval', () => {
     const pauses = new PauseDetector(0);
     pauses.tick(100);
     pauses.tick(900);
@@ -27,8 +27,8 @@
   });
 });
 
-describe('the lateness of a process', () => {
-  it('is its longest delay of the last seconds', () => {
+describe('the event loop lag', () => {
+  it('is the maximum delay of the last seconds', () => {
     const lateness = new EventLoopLag();
     lateness.record(120, 10_000);
     lateness.record(5, 11_000);
--- a/test/proxy/silent-endpoint.test.ts
+++ b/test/proxy/silent-endpoint.test.ts
@@ -1,4 +1,4 @@
-/** Kept connections to an endpoint that go silent for good, while new ones work. */
+/** Pooled connections to an endpoint that become unresponsive permanently while new connections work. */
 import { expect } from 'chai';
 import {
   call,
@@ -14,7 +14,7 @@
 const IDLE_MS = 200;
 const DEADLINE_MS = 700;
 
-describe('kept connections to an endpoint that go silent', () => {
+describe('pooled connections to an endpoint that become unresponsive', () => {
   const mesh = new TestMesh();
   let target: RawEndpoint;
   let link: FaultyLink;
@@ -31,7 +31,7 @@
     target.close();
   });
 
-  it('take one request each at most, and none once they have been idle for their time', async () => {
+  it('carry at most one request each, and none after the idle timeout', async () => {
     const { callerPort } = await mesh.addNode('n1', { maxIdleEndpointConnectionMs: IDLE_MS });
     mesh.configure([
       ...echoService({ timeoutMs: DEADLINE_MS, repeatable: false }),
--- a/test/proxy/stop-times.test.ts
+++ b/test/proxy/stop-times.test.ts
@@ -1,4 +1,4 @@
-/** The moments of a planned stop, whatever its bounds. */
+/** The deadlines of a planned stop for arbitrary limits. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { deadlineWithin, NO_STOP, stopTimes } from '../../src/proxy/stop-times.js';
@@ -7,8 +7,8 @@
 const boundMs = fc.integer({ min: 0, max: 60_000 });
 const limits = fc.record({ stopAcceptMs: boundMs, stopTimeoutMs: boundMs, stopAnswerMs: boundMs });
 
-describe('moments of a planned stop', () => {
-  it('come in order: refuse, give up, close', () => {
+describe('deadlines of a planned stop', () => {
+  it('are ordered: refuse, give up, close', () => {
     const property = fc.property(boundMs, limits, (nowMs, bounds) => {
       const { refusesFromMs, givesUpAtMs, closesAtMs } = stopTimes(nowMs, bounds);
       expect([nowMs, refusesFromMs, givesUpAtMs, closesAtMs]).to.deep.equal(
@@ -19,7 +19,7 @@
     fc.assert(property, { seed: SEED });
   });
 
-  it('bound the deadline of a request that arrives, and leave it alone before', () => {
+  it('limit the deadline of a request during the stop, and not before', () => {
     const times = stopTimes(1_000, { stopAcceptMs: 1, stopTimeoutMs: 5_000, stopAnswerMs: 1 });
     expect(deadlineWithin(3_000, times)).to.equal(3_000);
     expect(deadlineWithin(60_000, times)).to.be.within(6_000, 6_050);
@@ -27,9 +27,9 @@
   });
 });
 
-/** Guards against stops that outlast their grace time, or end work early, where a process hears late of its signal. */
-describe('moments of a planned stop of a late process', () => {
-  /** A grace time of 6 s, of which 300 ms are kept for the end of the process. */
+/** Guards against stops that exceed their grace period or end work early if the process handles its signal late. */
+describe('deadlines of a planned stop whose signal is handled late', () => {
+  /** Limits for a grace period of 6 s, of which 300 ms are reserved for the exit of the process. */
   const LIMITS = {
     stopAcceptMs: 2_800,
     stopTimeoutMs: 5_250,
@@ -37,26 +37,26 @@
     stopAnswerMs: 250,
     stopCloseMs: 200,
   };
-  const LONGEST_MS = 5_700;
+  const MAX_STOP_MS = 5_700;
   const delays = fc.record({
     signalAgeMs: fc.integer({ min: 0, max: 1_500 }),
     eventLoopLagMs: fc.integer({ min: 0, max: 250 }),
   });
 
-  it('end in time after the earliest signal, and earlier by the lateness', () => {
+  it('end within the grace period after the earliest possible signal, less the event loop lag', () => {
     const property = fc.property(delays, ({ signalAgeMs, eventLoopLagMs }) => {
       const { endsByMs, closesAtMs, givesUpAtMs, refusesFromMs } = stopTimes(0, LIMITS, {
         signalAgeMs,
         eventLoopLagMs,
       });
-      expect(endsByMs + signalAgeMs).to.be.at.most(LONGEST_MS - eventLoopLagMs);
+      expect(endsByMs + signalAgeMs).to.be.at.most(MAX_STOP_MS - eventLoopLagMs);
       expect(closesAtMs).to.be.within(givesUpAtMs, endsByMs);
       expect(refusesFromMs).to.be.within(0, givesUpAtMs);
     });
     fc.assert(property, { seed: SEED });
   });
 
-  it('give no work up in the first five sixths of the grace time, wherever the end still allows it', () => {
+  it('give up no work in the first five sixths of the grace period if the end of the stop allows it', () => {
     const cases = [
       { signalAgeMs: 0, eventLoopLagMs: 0, givesUpAtMs: 5_250 },
       { signalAgeMs: 0, eventLoopLagMs: 250, givesUpAtMs: 5_000 },
--- a/test/proxy/stop-window.test.ts
+++ b/test/proxy/stop-window.test.ts
@@ -1,10 +1,9 @@
 /**
- * A caller that sends its request between the end of the drain and the end of a planned stop.
- *
- * What happens: once nothing has been in flight for a while, the drain is over; the node then waits up to
- * 200 ms for the connections to its peers to close. A caller's connection that was open and had sent
- * nothing yet counts as no idle one and stays open meanwhile; what comes on it is run, as the time from
- * which requests are refused is seconds away, and is cut with the connection when the wait is over.
+ * Guards against a request that is cut off when it arrives between the end of the drain and the end of a planned
+ * stop. The drain ends once nothing has been in flight for the quiet period; the node then waits up to 200 ms for
+ * the connections to its peers to close. A caller connection that has not sent a request is not treated as idle
+ * and stays open during that time. A request on it is run, since requests are refused only seconds later, and was
+ * cut off with the connection at the end of the 200 ms.
  */
 import { once } from 'node:events';
 import http from 'node:http';
@@ -22,7 +21,7 @@
 
 const QUIET_MS = 30;
 
-describe('a planned stop whose drain is over', () => {
+describe('a planned stop after its drain', () => {
   const mesh = new TestMesh();
   let target: RawEndpoint;
 
@@ -32,14 +31,14 @@
     target.close();
   });
 
-  it('answers a request that comes while it waits for its peers', async () => {
+  it('answers a request that arrives while the node waits for its peers', async () => {
     target = await startRawEndpoint((socket) => {
       setTimeout(() => socket.write(rawAnswer('ran')), 300);
     });
     const node = await mesh.addNode('n1', { stopQuietMs: QUIET_MS });
     mesh.configure([...echoService(), echoEndpoint('e1', target.port, { machine: 'n1' })]);
 
-    // A peer whose end of the connection stays open, as over a slow link.
+    // The peer keeps its end of the connection open, as over a slow link.
     const upgrade = http.request({
       port: node.relayPort,
       host: '127.0.0.1',
--- a/test/proxy/unsent-at-deadline.test.ts
+++ b/test/proxy/unsent-at-deadline.test.ts
@@ -1,9 +1,7 @@
 /**
- * What callers are told when a deadline passes while nothing of their request can have reached an
- * endpoint: that it has not run, so that also a request that may not be repeated can be sent again.
- *
- * What happened: thousands of requests were told that they may have run, although no endpoint had got
- * them: their nodes waited for a connection to a peer, or for the peer to take their body.
+ * Guards against a `may-have-run` verdict for a request that cannot have reached an endpoint by its deadline.
+ * With the verdict `not-run`, a caller can also retry a request that is not repeatable. Thousands of requests got
+ * the wrong verdict while their nodes waited for a connection to a peer, or for the peer to accept their body.
  */
 import { once } from 'node:events';
 import net, { type AddressInfo, type Socket } from 'node:net';
@@ -13,7 +11,7 @@
 
 const UPLOAD_BYTES = 60_000;
 
-function openRelayAndSayNoMore(socket: Socket): void {
+function acceptUpgradeOnly(socket: Socket): void {
   socket.once('data', () => {
     socket.write('HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\n');
     socket.write(`Upgrade: ${RELAY_PROTOCOL}\r\n\r\n`);
@@ -32,8 +30,8 @@
     mesh.nodes.length = 0;
   });
 
-  /** A node whose peer, beside the only endpoint, takes connections and handles them so. */
-  async function nodeBeside(handle: (socket: Socket) => void): Promise<TestNode> {
+  /** Starts a node whose peer has the only endpoint and handles each accepted connection with `handle`. */
+  async function nodeWithPeer(handle: (socket: Socket) => void): Promise<TestNode> {
     peer = net.createServer((socket) => {
       sockets.add(socket);
       socket.on('error', () => socket.destroy());
@@ -48,8 +46,8 @@
     return node;
   }
 
-  it('before a connection to the peer opened says that the request has not run', async () => {
-    const { callerPort } = await nodeBeside(() => undefined);
+  it('before the connection to the peer is open gives the verdict not-run', async () => {
+    const { callerPort } = await nodeWithPeer(() => undefined);
     const { status, headers } = await call(callerPort, {
       method: 'POST',
       headers: { 'x-deadline-ms': 150 },
@@ -57,8 +55,8 @@
     expect([status, headers['ferryspool-verdict']]).to.deep.equal([504, 'not-run']);
   });
 
-  it('before the peer asked for the body says that the request has not run', async () => {
-    const { callerPort } = await nodeBeside(openRelayAndSayNoMore);
+  it('before the peer has requested the body gives the verdict not-run', async () => {
+    const { callerPort } = await nodeWithPeer(acceptUpgradeOnly);
     const { headers } = await call(callerPort, {
       method: 'POST',
       headers: { 'x-deadline-ms': 150, 'Content-Length': UPLOAD_BYTES },
@@ -67,8 +65,8 @@
     expect(headers['ferryspool-verdict']).to.equal('not-run');
   });
 
-  it('after the request went to the peer says that it may have run', async () => {
-    const { callerPort } = await nodeBeside(openRelayAndSayNoMore);
+  it('after the request was sent to the peer gives the verdict may-have-run', async () => {
+    const { callerPort } = await nodeWithPeer(acceptUpgradeOnly);
     const { headers } = await call(callerPort, {
       method: 'POST',
       headers: { 'x-deadline-ms': 150 },
