--- a/test/proxy/reborn-endpoint.test.ts
+++ b/test/proxy/reborn-endpoint.test.ts
@@ -1,7 +1,8 @@
 /**
- * A back end starts again under its name while requests run and wait at the node beside it. Those that wait
- * have not run and belong to the new process, whose slots are all free; those that ran are lost with the
- * old one, and their late ends must not be taken for its own.
+ * Guards against confusing two processes of an endpoint that restarts under the same name while its node has
+ * running and queued requests. Queued requests have not run and are sent to the new process, all of whose slots are
+ * free. Running requests are lost with the previous process, and their late completions must not be attributed to
+ * the new one.
  */
 import { expect } from 'chai';
 import type { FingerprintedParts } from '../../src/containment/request-fingerprint.js';
@@ -18,25 +19,25 @@
 const SLOTS = 2;
 const DEADLINE_MS = 5_000;
 const UPKEEP_MS = 500;
-/** A loss is judged within this time, in milliseconds. */
-const JUDGED_MS = 10;
-/** The slot of a lost request is held for so long, in milliseconds. */
-const SLOT_HELD_MS = 20;
+/** Time limit for the decision about a lost request, in milliseconds. */
+const LOSS_DECISION_MS = 10;
+/** Time for which the slot of a lost request stays occupied, in milliseconds. */
+const SLOT_RELEASE_DELAY_MS = 20;
 
-/** A request as the endpoint's port got it. */
-interface Sent {
+/** A request that was sent to the endpoint. */
+interface SentRequest {
   readonly bornAtMs: number | undefined;
   readonly requestId: string;
   readonly observer: EndpointObserver;
 }
 
-/** The node beside the endpoint `e1`, under a virtual clock. */
+/** The gateway of the node of endpoint `e1`, under a virtual clock. */
 class World implements EndpointConnector {
-  readonly sent: Sent[] = [];
-  /** What the callers were told, by request. */
-  readonly told: Record<string, string> = {};
-  /** Requests that were blamed for each end. */
-  readonly ends: string[][] = [];
+  readonly sent: SentRequest[] = [];
+  /** Outcomes that were reported to the callers, by request ID. */
+  readonly outcomes: Record<string, string> = {};
+  /** IDs of the requests that were blamed for each end of the endpoint process. */
+  readonly blamedRequests: string[][] = [];
   isListening: boolean | undefined = true;
   current: Endpoint;
   private readonly clock = new VirtualScheduler();
@@ -44,12 +45,12 @@
   readonly gateway: EndpointGateway;
 
   constructor() {
-    this.current = endpointBorn(1_000);
+    this.current = endpointBornAt(1_000);
     this.snapshot = snapshotOf([this.current]);
     const containment = {
       ...NO_CONTAINMENT,
       endpointEnded: (_name: string, calls: readonly FingerprintedParts[]) =>
-        this.ends.push(calls.map((one) => (one as Call).requestId)),
+        this.blamedRequests.push(calls.map((one) => (one as Call).requestId)),
     };
     this.gateway = new EndpointGateway({
       containment,
@@ -63,7 +64,7 @@
       cancelLead: {
         cancelLeadShare: 0.1,
         maxCancelLeadMs: 10,
-        slotFreedAfterCloseMs: SLOT_HELD_MS,
+        slotFreedAfterCloseMs: SLOT_RELEASE_DELAY_MS,
       },
       logStateChange: () => undefined,
       snapshot: () => this.snapshot,
@@ -71,9 +72,9 @@
     });
   }
 
-  /** The endpoint's entry says that it was born at `bornAtMs`. */
-  rebear(bornAtMs: number | undefined, spec: Record<string, unknown> = {}): Endpoint {
-    this.current = endpointBorn(bornAtMs, spec);
+  /** Replaces the configuration entry of the endpoint by one with `bornAtMs`. */
+  restartEndpoint(bornAtMs: number | undefined, spec: Record<string, unknown> = {}): Endpoint {
+    this.current = endpointBornAt(bornAtMs, spec);
     this.configure([this.current]);
     return this.current;
   }
@@ -85,15 +86,15 @@
   submit(requestId: string, endpoint = this.current): Attempt {
     return this.gateway.submit(endpoint, callOf(requestId), {
       answered: ({ status }) => {
-        this.told[requestId] = String(status);
+        this.outcomes[requestId] = String(status);
       },
       failed: ({ code, verdict }) => {
-        this.told[requestId] = `${code} ${verdict}`;
+        this.outcomes[requestId] = `${code} ${verdict}`;
       },
     });
   }
 
-  /** Identities of what was sent to the incarnation. */
+  /** IDs of the requests that were sent to the incarnation. */
   sentTo(bornAtMs: number | undefined): string[] {
     return this.sent.filter((one) => one.bornAtMs === bornAtMs).map(({ requestId }) => requestId);
   }
@@ -127,7 +128,7 @@
   }
 
   probeDraining(): void {
-    throw new Error('no endpoint said that it drains');
+    throw new Error('no endpoint reported that it is draining');
   }
 
   probeListening(_endpoint: Endpoint, report: (isListening: boolean | undefined) => void): void {
@@ -149,10 +150,13 @@
   }
 }
 
-function endpointBorn(bornAtMs: number | undefined, spec: Record<string, unknown> = {}): Endpoint {
+function endpointBornAt(
+  bornAtMs: number | undefined,
+  spec: Record<string, unknown> = {},
+): Endpoint {
   const birth = bornAtMs === undefined ? {} : { bornAtMs };
-  const whole = { machine: 'n1', slots: SLOTS, ...birth, ...spec };
-  return resourceSchema.parse(echoEndpoint('e1', 1, whole)) as Endpoint;
+  const fullSpec = { machine: 'n1', slots: SLOTS, ...birth, ...spec };
+  return resourceSchema.parse(echoEndpoint('e1', 1, fullSpec)) as Endpoint;
 }
 
 function snapshotOf(endpoints: readonly Endpoint[]): Snapshot {
@@ -175,7 +179,7 @@
   };
 }
 
-describe('the node beside an endpoint that starts again under its name', () => {
+describe('the node of an endpoint that restarts under the same name', () => {
   let world: World;
 
   beforeEach(() => {
@@ -184,55 +188,55 @@
     expect(world.sentTo(1_000)).to.deep.equal(['run-1', 'run-2']);
   });
 
-  it('sends what waits to the new process, soon and without another request', () => {
-    world.rebear(2_000);
+  it('sends queued requests to the new process promptly, without a further request', () => {
+    world.restartEndpoint(2_000);
     world.advance(UPKEEP_MS);
     world.gateway.reconcile();
     expect(world.sentTo(2_000)).to.deep.equal(['wait-1', 'wait-2']);
     ['wait-1', 'wait-2'].forEach((id) => world.answer(id));
-    expect(world.told).to.deep.equal({ 'wait-1': '200', 'wait-2': '200' });
+    expect(world.outcomes).to.deep.equal({ 'wait-1': '200', 'wait-2': '200' });
   });
 
-  it('sends what waited before a new request, in their order', () => {
-    world.rebear(2_000);
+  it('sends queued requests in order, before a new request', () => {
+    world.restartEndpoint(2_000);
     world.submit('new');
     expect(world.sentTo(2_000)).to.deep.equal(['wait-1', 'wait-2']);
     world.answer('wait-1');
     expect(world.sentTo(2_000)).to.deep.equal(['wait-1', 'wait-2', 'new']);
   });
 
-  it('sends a request that was meant for the one before to the new process', () => {
+  it('sends a request for the previous process to the new one', () => {
     const before = world.current;
-    world.rebear(2_000);
+    world.restartEndpoint(2_000);
     world.gateway.reconcile();
     ['wait-1', 'wait-2'].forEach((id) => world.answer(id));
     world.submit('late', before);
     expect(world.sentTo(2_000)).to.include('late');
   });
 
-  it('tells of what ran that it may have run, once it is lost', () => {
-    world.rebear(2_000);
+  it('reports may-have-run for running requests once they are lost', () => {
+    world.restartEndpoint(2_000);
     world.gateway.reconcile();
-    expect(world.told).to.deep.equal({});
+    expect(world.outcomes).to.deep.equal({});
     ['run-1', 'run-2'].forEach((id) => world.lose(id));
-    world.advance(JUDGED_MS);
-    expect(world.told).to.deep.equal({
+    world.advance(LOSS_DECISION_MS);
+    expect(world.outcomes).to.deep.equal({
       'run-1': 'ENDPOINT_ENDED may-have-run',
       'run-2': 'ENDPOINT_ENDED may-have-run',
     });
   });
 
-  it('takes an answer that is still on its way', () => {
-    world.rebear(2_000);
+  it('accepts an answer of the previous process that is still in transit', () => {
+    world.restartEndpoint(2_000);
     world.gateway.reconcile();
     world.answer('run-1');
-    expect(world.told).to.deep.equal({ 'run-1': '200' });
+    expect(world.outcomes).to.deep.equal({ 'run-1': '200' });
   });
 
-  it('tells nothing of the old process as the load of the new one', () => {
+  it('does not report the load of the previous process as that of the new one', () => {
     world.advance(100);
     world.answer('run-1');
-    const reborn = world.rebear(2_000);
+    const reborn = world.restartEndpoint(2_000);
     world.gateway.reconcile();
     const { slots, draining, failureShare, serviceMs } = world.gateway.load(reborn, 'all');
     expect({ slots, draining, failureShare, serviceMs }).to.deep.equal({
@@ -242,16 +246,16 @@
       serviceMs: undefined,
     });
     world.lose('run-2');
-    world.advance(JUDGED_MS);
+    world.advance(LOSS_DECISION_MS);
     expect(world.gateway.load(reborn, 'all').failureShare).to.equal(0);
   });
 
-  it('keeps a place for a body that is on its way, and gives it up where the body is', () => {
+  it('keeps a reservation for a body in transit, and releases it when requested', () => {
     const before = world.current;
     const arrival = { beginsAtMs: 0, endsAtMs: 0 };
     expect(world.gateway.reserve(before, callOf('body-1'), arrival)).to.equal(undefined);
     expect(world.gateway.reserve(before, callOf('body-2'), arrival)).to.equal(undefined);
-    const reborn = world.rebear(2_000);
+    const reborn = world.restartEndpoint(2_000);
     world.gateway.reconcile();
     expect(world.gateway.reserve(reborn, callOf('other-1'), arrival)).to.equal(undefined);
     expect(world.gateway.reserve(reborn, callOf('other-2'), arrival)).to.equal(undefined);
@@ -259,62 +263,62 @@
     world.gateway.unreserve(before, callOf('body-1'));
     expect(world.gateway.reserve(reborn, callOf('other-3'), arrival)).to.equal(undefined);
     world.submit('body-2', before);
-    expect(world.told['body-2']).to.equal(undefined);
+    expect(world.outcomes['body-2']).to.equal(undefined);
   });
 
-  it('gives up what waits, which has not run, where the new process is on another machine', () => {
-    world.rebear(2_000, { machine: 'n2', address: '127.0.0.2' });
+  it('fails queued requests with not-run if the new process is on another machine', () => {
+    world.restartEndpoint(2_000, { machine: 'n2', address: '127.0.0.2' });
     world.gateway.reconcile();
     expect(world.sentTo(2_000)).to.deep.equal([]);
-    expect(world.told).to.deep.equal({
+    expect(world.outcomes).to.deep.equal({
       'wait-1': 'ENDPOINT_DRAINING not-run',
       'wait-2': 'ENDPOINT_DRAINING not-run',
     });
   });
 
-  it('sends what waits to another port of the machine', () => {
-    world.rebear(2_000, { port: 2 });
+  it('sends queued requests to another port of the machine', () => {
+    world.restartEndpoint(2_000, { port: 2 });
     world.gateway.reconcile();
     expect(world.sentTo(2_000)).to.deep.equal(['wait-1', 'wait-2']);
   });
 
-  it('is not drained by the drain of the one before', () => {
-    world.configure([endpointBorn(1_000, { state: 'draining' })]);
+  it('does not apply the drain of the previous process to the new one', () => {
+    world.configure([endpointBornAt(1_000, { state: 'draining' })]);
     world.gateway.reconcile();
-    expect(world.told).to.have.keys(['wait-1', 'wait-2']);
-    world.rebear(2_000);
+    expect(world.outcomes).to.have.keys(['wait-1', 'wait-2']);
+    world.restartEndpoint(2_000);
     world.submit('new');
     expect(world.sentTo(2_000)).to.deep.equal(['new']);
   });
 
-  it('lets go of a request that waited and is given up after the rebirth', () => {
+  it('does not send a queued request that is aborted after the restart', () => {
     const waiting = world.submit('wait-3');
-    world.rebear(2_000);
+    world.restartEndpoint(2_000);
     world.gateway.reconcile();
     waiting.abort();
     ['wait-1', 'wait-2'].forEach((id) => world.answer(id));
     expect(world.sentTo(2_000)).to.deep.equal(['wait-1', 'wait-2']);
   });
 
-  it('sends on through several rebirths', () => {
-    world.rebear(2_000);
-    world.rebear(3_000);
+  it('sends queued requests to the latest process after several restarts', () => {
+    world.restartEndpoint(2_000);
+    world.restartEndpoint(3_000);
     world.submit('new');
     expect(world.sentTo(2_000)).to.deep.equal([]);
     expect(world.sentTo(3_000)).to.deep.equal(['wait-1', 'wait-2']);
   });
 
-  it('refuses what waits in time, as before', () => {
-    world.rebear(2_000);
+  it('still refuses queued requests that cannot finish by their deadline', () => {
+    world.restartEndpoint(2_000);
     world.gateway.reconcile();
     ['more-1', 'more-2'].forEach((id) => world.submit(id));
     world.advance(DEADLINE_MS);
-    expect(world.told).to.include({ 'more-1': 'CANNOT_FINISH_IN_TIME not-run' });
+    expect(world.outcomes).to.include({ 'more-1': 'CANNOT_FINISH_IN_TIME not-run' });
   });
 
-  it('forgets the one before once nothing of it is under way', () => {
+  it('removes the previous process once none of its requests are in flight', () => {
     const before = world.current;
-    world.rebear(2_000);
+    world.restartEndpoint(2_000);
     world.gateway.reconcile();
     ['wait-1', 'wait-2', 'run-1', 'run-2'].forEach((id) => world.answer(id));
     world.gateway.reconcile();
@@ -324,62 +328,62 @@
     expect(world.sentTo(2_000)).to.include('late');
   });
 
-  it('takes no entry that leaves the birth out for the end of the process', () => {
-    world.rebear(undefined);
+  it('does not treat an entry without a start time as the end of the process', () => {
+    world.restartEndpoint(undefined);
     world.gateway.reconcile();
     expect(world.sentTo(undefined)).to.deep.equal(['wait-1', 'wait-2']);
     world.lose('run-1');
     world.lose('run-2');
-    world.advance(JUDGED_MS);
-    expect(world.told['run-1']).to.equal('CONNECTION_LOST may-have-run');
-    expect(world.ends).to.deep.equal([]);
+    world.advance(LOSS_DECISION_MS);
+    expect(world.outcomes['run-1']).to.equal('CONNECTION_LOST may-have-run');
+    expect(world.blamedRequests).to.deep.equal([]);
   });
 
-  describe('where it listened again before anyone could ask', () => {
-    it('learns from the rebirth that the process had ended under what ran', () => {
+  describe('if the endpoint listens again before it is probed', () => {
+    it('detects from the restart that the process ended while requests were running', () => {
       ['run-1', 'run-2'].forEach((id) => world.lose(id));
-      world.advance(JUDGED_MS);
-      expect(world.ends).to.deep.equal([]);
-      world.rebear(2_000);
+      world.advance(LOSS_DECISION_MS);
+      expect(world.blamedRequests).to.deep.equal([]);
+      world.restartEndpoint(2_000);
       world.gateway.reconcile();
-      expect(world.ends).to.deep.equal([['run-1', 'run-2']]);
+      expect(world.blamedRequests).to.deep.equal([['run-1', 'run-2']]);
     });
 
-    it('learns it though nothing is under way any more', () => {
+    it('detects it even if no requests are in flight any more', () => {
       ['run-1', 'run-2'].forEach((id) => world.lose(id));
-      world.advance(JUDGED_MS + SLOT_HELD_MS);
+      world.advance(LOSS_DECISION_MS + SLOT_RELEASE_DELAY_MS);
       ['wait-1', 'wait-2'].forEach((id) => world.answer(id));
       expect(world.gateway.inFlight).to.equal(0);
-      world.rebear(2_000);
+      world.restartEndpoint(2_000);
       world.gateway.reconcile();
-      expect(world.ends).to.deep.equal([['run-1', 'run-2']]);
+      expect(world.blamedRequests).to.deep.equal([['run-1', 'run-2']]);
     });
 
-    it('learns nothing from a rebirth long after', () => {
+    it('draws no conclusion from a restart long after the loss', () => {
       ['run-1', 'run-2'].forEach((id) => world.lose(id));
       world.advance(4_000);
-      world.rebear(2_000);
+      world.restartEndpoint(2_000);
       world.gateway.reconcile();
-      expect(world.ends).to.deep.equal([]);
+      expect(world.blamedRequests).to.deep.equal([]);
     });
 
-    it('learns nothing of an endpoint that was draining', () => {
-      world.configure([endpointBorn(1_000, { state: 'draining' })]);
+    it('draws no conclusion about an endpoint that was draining', () => {
+      world.configure([endpointBornAt(1_000, { state: 'draining' })]);
       world.gateway.reconcile();
       ['run-1', 'run-2'].forEach((id) => world.lose(id));
-      world.advance(JUDGED_MS);
-      world.rebear(2_000);
+      world.advance(LOSS_DECISION_MS);
+      world.restartEndpoint(2_000);
       world.gateway.reconcile();
-      expect(world.ends).to.deep.equal([]);
+      expect(world.blamedRequests).to.deep.equal([]);
     });
   });
 
-  it('is sent nothing at a gate that is only made after its endpoint has gone from the configuration', () => {
+  it('sends nothing through a gate created after its endpoint was removed from the configuration', () => {
     const world = new World();
     const { current } = world;
     world.configure([]);
     world.submit('late', current);
     expect(world.sent).to.have.length(0);
-    expect(world.told.late).to.equal('ENDPOINT_DRAINING not-run');
+    expect(world.outcomes.late).to.equal('ENDPOINT_DRAINING not-run');
   });
 });
--- a/test/proxy/redirected-attempt.test.ts
+++ b/test/proxy/redirected-attempt.test.ts
@@ -1,11 +1,9 @@
 /**
- * A request whose first endpoint refuses it at once, while it is being submitted, and that goes on to
- * another one.
- *
- * What happens: the refusal begins the second attempt before `submit` of the first has returned. When it
- * returns, the runner keeps the first attempt, which is over, as the one under way. Whether the request
- * has left the node, and what is to be aborted, is then asked of the wrong attempt: at the deadline or at
- * a planned stop the caller is told that a request has not run which an endpoint is working on.
+ * Guards against a request runner that tracks the wrong attempt when an endpoint refuses a request synchronously.
+ * The refusal starts the second attempt before `submit` of the first has returned. If the runner then records the
+ * first attempt, which has ended, as the current one, it consults that attempt to decide whether the request has
+ * left the node and what to abort. At the deadline or at a planned stop, the caller gets the verdict `not-run` for
+ * a request that an endpoint is processing.
  */
 import { expect } from 'chai';
 import { resourceSchema } from '../../src/model/resource.js';
@@ -22,13 +20,13 @@
 
 const DEADLINE_MS = 500;
 
-/** A node whose own endpoint refuses at once, and a peer whose endpoint works on all that it gets. */
+/** A node whose local endpoint refuses every request at once, and a peer whose endpoint accepts every request. */
 class RedirectWorld {
-  readonly told: string[] = [];
+  readonly outcomes: string[] = [];
   readonly runner: RequestRunner;
-  atPeer = 0;
+  submittedToPeer = 0;
   abortedAtPeer = 0;
-  closeCaller: (isWhole: boolean) => void = () => undefined;
+  disconnectCaller: (isComplete: boolean) => void = () => undefined;
   private readonly clock = new VirtualScheduler();
 
   constructor() {
@@ -51,12 +49,12 @@
       headers: [],
       retries: undefined,
       response: {
-        answer: ({ status }) => this.told.push(`${status}`),
-        fail: ({ status }, verdict) => this.told.push(`${status} ${verdict}`),
-        breakConnection: () => this.told.push('broken'),
+        answer: ({ status }) => this.outcomes.push(`${status}`),
+        fail: ({ status }, verdict) => this.outcomes.push(`${status} ${verdict}`),
+        breakConnection: () => this.outcomes.push('broken'),
         hasBegun: () => false,
         onClose: (action) => {
-          this.closeCaller = action;
+          this.disconnectCaller = action;
         },
       },
       requestId: 'r',
@@ -79,7 +77,7 @@
     };
     const relay: EndpointPath = {
       submit: () => {
-        this.atPeer += 1;
+        this.submittedToPeer += 1;
         return { abort: () => (this.abortedAtPeer += 1), isUnsent: () => false };
       },
     };
@@ -110,23 +108,23 @@
   }
 }
 
-describe('a request that its first endpoint refuses while it is submitted', () => {
-  it('is told at the deadline that it may have run where the second endpoint has it', () => {
+describe('a request that its first endpoint refuses during submission', () => {
+  it('gets the verdict may-have-run at the deadline if the second endpoint has accepted it', () => {
     const world = new RedirectWorld();
-    expect(world.atPeer).to.equal(1);
+    expect(world.submittedToPeer).to.equal(1);
     world.advance(DEADLINE_MS);
-    expect(world.told).to.deep.equal(['504 may-have-run']);
+    expect(world.outcomes).to.deep.equal(['504 may-have-run']);
   });
 
-  it('is told by a node that stops that it may have run where the second endpoint has it', () => {
+  it('gets the verdict may-have-run from a stopping node if the second endpoint has accepted it', () => {
     const world = new RedirectWorld();
     world.runner.giveUp();
-    expect(world.told).to.deep.equal(['502 may-have-run']);
+    expect(world.outcomes).to.deep.equal(['502 may-have-run']);
   });
 
-  it('is aborted at the second endpoint when its caller goes away', () => {
+  it('is aborted at the second endpoint when its caller disconnects', () => {
     const world = new RedirectWorld();
-    world.closeCaller(false);
+    world.disconnectCaller(false);
     expect(world.abortedAtPeer).to.equal(1);
   });
 });
--- a/test/proxy/request-proxy.test.ts
+++ b/test/proxy/request-proxy.test.ts
@@ -1,4 +1,4 @@
-/** The request path over real sockets: caller, node, node beside the endpoint, endpoint. */
+/** The request path over real sockets: caller, node, node of the endpoint, endpoint. */
 import { expect } from 'chai';
 import { RelayTokenIssuer } from '../../src/proxy/relay/relay-token.js';
 import { encodeRelayFrame } from '../../src/proxy/relay/relay-frame.js';
@@ -37,7 +37,7 @@
     return started;
   }
 
-  async function oneEndpoint(
+  async function configureEndpoint(
     machine: string | undefined,
     handle: RawHandler,
   ): Promise<RawEndpoint> {
@@ -47,15 +47,15 @@
     return started;
   }
 
-  const places = [
-    { where: 'beside the node of the caller', machine: 'n1' },
-    { where: 'beside another node', machine: 'n2' },
+  const locations = [
+    { where: 'on the node of the caller', machine: 'n1' },
+    { where: 'on another node', machine: 'n2' },
     { where: 'without a node', machine: undefined },
   ];
-  for (const { where, machine } of places) {
-    it(`passes request and answer whole to an endpoint ${where}`, async () => {
+  for (const { where, machine } of locations) {
+    it(`forwards a complete request and answer with an endpoint ${where}`, async () => {
       const answer = 'x'.repeat(100_000);
-      const target = await oneEndpoint(machine, (socket) => {
+      const target = await configureEndpoint(machine, (socket) => {
         socket.write(
           rawAnswer(answer, 'X-Own: 1\r\nx-load: 1/20\r\nferryspool-verdict: not-run\r\n'),
         );
@@ -100,8 +100,8 @@
     { answer: '304', method: 'GET', raw: 'HTTP/1.1 304 Not Modified\r\nETag: x\r\n\r\n' },
   ];
   for (const { answer, method, raw } of bodiless) {
-    it(`passes an answer without a body on: ${answer}`, async () => {
-      await oneEndpoint('n2', (socket) => socket.write(raw));
+    it(`forwards an answer without a body: ${answer}`, async () => {
+      await configureEndpoint('n2', (socket) => socket.write(raw));
       const { callerPort } = await mesh.addNode('n1');
       await mesh.addNode('n2');
       const result = await call(callerPort, { method });
@@ -110,16 +110,16 @@
     });
   }
 
-  it('gives up an answer that stands still, visibly', async () => {
+  it('truncates an answer that stalls', async () => {
     const head = 'HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n';
-    await oneEndpoint('n2', (socket) => socket.write(`${head}part`));
+    await configureEndpoint('n2', (socket) => socket.write(`${head}part`));
     const { callerPort } = await mesh.addNode('n1', { answerIdleTimeoutMs: 50 });
     await mesh.addNode('n2', { answerIdleTimeoutMs: 50 });
     expect(await call(callerPort)).to.include({ body: 'part', isComplete: false });
   });
 
-  it('answers a large chunked body piece by piece in both directions', async () => {
-    const target = await oneEndpoint('n2', (socket) => {
+  it('streams a large request body and a chunked answer', async () => {
+    const target = await configureEndpoint('n2', (socket) => {
       socket.write('HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n');
       socket.write('6\r\nsecond\r\n0\r\n\r\n');
     });
@@ -147,7 +147,7 @@
       code: 'DEADLINE_PASSED',
     },
     { name: 'a malformed deadline', headers: { 'x-deadline-ms': '-5' }, status: 400 },
-    { name: 'no endpoint that takes work', state: 'draining', status: 503, code: 'NO_ENDPOINT' },
+    { name: 'no endpoint that accepts work', state: 'draining', status: 503, code: 'NO_ENDPOINT' },
     { name: 'a leaving node', leaving: true, status: 503, code: 'NO_ENDPOINT' },
     { name: 'a body over the limit', body: 'x'.repeat(2_000), status: 413, code: 'BODY_TOO_LARGE' },
   ];
@@ -191,22 +191,22 @@
 
   const tokens = [
     { name: 'no token', token: undefined },
-    { name: 'a malformed one', token: 'x' },
+    { name: 'a malformed token', token: 'x' },
     {
-      name: 'one of another key',
+      name: 'a token signed with another key',
       token: new RelayTokenIssuer(Buffer.alloc(32), 'n9').current(Date.now()),
     },
-    { name: 'one for another machine', token: validToken.replace('n9', 'n8') },
-    { name: 'an expired one', token: new RelayTokenIssuer(FLEET_KEY, 'n9').current(1) },
+    { name: 'a token for another machine', token: validToken.replace('n9', 'n8') },
+    { name: 'an expired token', token: new RelayTokenIssuer(FLEET_KEY, 'n9').current(1) },
     {
-      name: 'one from the far future',
+      name: 'a token from the far future',
       token: new RelayTokenIssuer(FLEET_KEY, 'n9').current(Date.now() + 1e9),
     },
-    { name: 'a valid one', token: validToken, status: 200 },
+    { name: 'a valid token', token: validToken, status: 200 },
   ];
   for (const { name, token, status = 403 } of tokens) {
     it(`answers ${status} on the relay port to ${name}`, async () => {
-      const target = await oneEndpoint('n2', (socket) => socket.write(rawAnswer('ran')));
+      const target = await configureEndpoint('n2', (socket) => socket.write(rawAnswer('ran')));
       const { relayPort } = await mesh.addNode('n2');
       const opening = await openRelay(relayPort, token);
       const answered =
@@ -219,14 +219,14 @@
     });
   }
 
-  it('answers 426 on the relay port to a request that asks for no upgrade', async () => {
+  it('answers 426 on the relay port to a request without an upgrade', async () => {
     const { relayPort } = await mesh.addNode('n2');
     const headers = { 'ferryspool-relay-token': validToken };
     expect((await call(relayPort, { headers })).status).to.equal(426);
   });
 
-  it('closes a relay connection on bytes that are no frame, and runs nothing of them', async () => {
-    const target = await oneEndpoint('n2', (socket) => socket.write(rawAnswer('ran')));
+  it('closes a relay connection on bytes that are not a frame, without running a request', async () => {
+    const target = await configureEndpoint('n2', (socket) => socket.write(rawAnswer('ran')));
     const { relayPort } = await mesh.addNode('n2');
     const sender = await connectRelay(relayPort);
     sender.socket.write('GET / HTTP/1.1\r\nHost: a\r\n\r\n');
@@ -234,8 +234,8 @@
     expect(target.heads).to.have.length(0);
   });
 
-  it('does not run a request whose time was over before it was read', async () => {
-    const target = await oneEndpoint('n2', (socket) => socket.write(rawAnswer('ran')));
+  it('does not run a request whose deadline passed before it was read', async () => {
+    const target = await configureEndpoint('n2', (socket) => socket.write(rawAnswer('ran')));
     const { relayPort } = await mesh.addNode('n2');
     const sender = await connectRelay(relayPort);
     expect(await sender.outcome(sender.request())).to.include({ status: 200 });
@@ -246,8 +246,8 @@
     sender.destroy();
   });
 
-  it('does not run what its sender gave up while the process was paused', async () => {
-    const target = await oneEndpoint('n2', (socket) => socket.write(rawAnswer('ran')));
+  it('does not run a request that its sender abandoned while the process was paused', async () => {
+    const target = await configureEndpoint('n2', (socket) => socket.write(rawAnswer('ran')));
     const { relayPort } = await mesh.addNode('n2');
     const sender = await connectRelay(relayPort);
     await sender.outcome(sender.request({ requestId: 'r0' }));
@@ -263,56 +263,56 @@
     other.destroy();
   });
 
-  /** Guards against a process that is paused a second time before it has read what came in the first pause. */
-  it('does not run what its sender gave up while the process was paused twice', async () => {
-    const target = await oneEndpoint('n2', (socket) => socket.write(rawAnswer('ran')));
+  /** Guards against a second pause of the process before it has read the data received in the first one. */
+  it('does not run a request that its sender abandoned while the process was paused twice', async () => {
+    const target = await configureEndpoint('n2', (socket) => socket.write(rawAnswer('ran')));
     const { relayPort } = await mesh.addNode('n2');
     const sender = await connectRelay(relayPort);
     await sender.outcome(sender.request({ requestId: 'r0' }));
     sender.request({ requestId: 'r1' });
     setImmediate(() => sender.destroy());
-    const standStill = (stillMs: number): void => {
-      const wakeAtMs = performance.now() + stillMs;
+    const blockEventLoop = (blockMs: number): void => {
+      const wakeAtMs = performance.now() + blockMs;
       while (performance.now() < wakeAtMs);
     };
-    // Due during the first pause, it comes right after the looks at the clock and before what waits is read.
-    setTimeout(() => standStill(100), 400);
-    setImmediate(() => standStill(500));
+    // Due during the first pause, this timer runs after the clock checks and before pending data is read.
+    setTimeout(() => blockEventLoop(100), 400);
+    setImmediate(() => blockEventLoop(500));
     const other = await connectRelay(relayPort);
     await other.outcome(other.request({ requestId: 'r2' }));
     expect(target.heads.map((head) => /x-request-id: (\S+)/.exec(head)?.[1])).to.not.include('r1');
     other.destroy();
   });
 
-  it('sends the rest of a large answer whenever its receiver makes room', async () => {
+  it('sends the remainder of a large answer as its receiver grants credit', async () => {
     const body = 'x'.repeat(BODY_WINDOW_BYTES + 3_000);
-    await oneEndpoint('n2', (socket) => socket.write(rawAnswer(body)));
+    await configureEndpoint('n2', (socket) => socket.write(rawAnswer(body)));
     const { relayPort } = await mesh.addNode('n2');
     const sender = await connectRelay(relayPort);
     const streamId = sender.request();
     const receivedBytes = (): number =>
       sender.received.reduce((sum, frame) => sum + ('bytes' in frame ? frame.bytes.length : 0), 0);
-    const isWhole = (): boolean =>
+    const hasLastFrame = (): boolean =>
       sender.received.some((frame) => frame.kind === 'body' && frame.isLast);
     await until(() => receivedBytes() === BODY_WINDOW_BYTES);
     await new Promise((resolve) => setTimeout(resolve, 50));
-    expect([receivedBytes(), isWhole()]).to.deep.equal([BODY_WINDOW_BYTES, false]);
+    expect([receivedBytes(), hasLastFrame()]).to.deep.equal([BODY_WINDOW_BYTES, false]);
     for (let step = 0; step < 8; step += 1) {
       sender.send({ kind: 'credit', streamId, creditBytes: 500 });
       await new Promise((resolve) => setTimeout(resolve, 10));
     }
-    await until(isWhole);
+    await until(hasLastFrame);
     expect(receivedBytes()).to.equal(body.length);
     sender.destroy();
   });
 
-  it('does not run what was cancelled while the event loop was held up', async () => {
-    const target = await oneEndpoint('n2', (socket) => socket.write(rawAnswer('ran')));
+  it('does not run a request that was cancelled while the event loop was blocked', async () => {
+    const target = await configureEndpoint('n2', (socket) => socket.write(rawAnswer('ran')));
     const { relayPort } = await mesh.addNode('n2');
     const sender = await connectRelay(relayPort);
     await sender.outcome(sender.request({ requestId: 'r0' }));
     const streamId = sender.request({ requestId: 'r1' });
-    // Less than what counts as a pause of the process; the request has just gone out.
+    // Shorter than a detected pause of the process; the request has just been sent.
     setImmediate(() => {
       sender.socket.write(encodeRelayFrame({ kind: 'cancel', streamId }));
       const freeAtMs = performance.now() + 300;
@@ -324,8 +324,8 @@
     sender.destroy();
   });
 
-  it('bears a head that does not fit the text fields of a frame', async () => {
-    await oneEndpoint('n2', (socket) => socket.write(rawAnswer('ran')));
+  it('keeps serving after a request head that does not fit the text fields of a frame', async () => {
+    await configureEndpoint('n2', (socket) => socket.write(rawAnswer('ran')));
     const { callerPort } = await mesh.addNode('n1', { maxHeaderBytes: 400 * 1024 });
     await mesh.addNode('n2');
     const sent = { headers: { 'x-long': '\u00e9'.repeat(300 * 1024) } };
@@ -333,17 +333,17 @@
     expect((await call(callerPort)).status).to.equal(200);
   });
 
-  it('relays a head of 40 KB whose bytes each take two in a frame', async () => {
+  it('relays a 40 KB head whose bytes are each encoded as two in a frame', async () => {
     const value = '\u00e9'.repeat(40 * 1024);
-    const target = await oneEndpoint('n2', (socket) => socket.write(rawAnswer('ran')));
+    const target = await configureEndpoint('n2', (socket) => socket.write(rawAnswer('ran')));
     const { callerPort } = await mesh.addNode('n1', { maxHeaderBytes: 64 * 1024 });
     await mesh.addNode('n2');
     expect((await call(callerPort, { headers: { 'x-long': value } })).status).to.equal(200);
     expect(target.heads[0]?.includes(value)).to.equal(true);
   });
 
-  it('does not run what was cancelled before it was looked at', async () => {
-    const target = await oneEndpoint('n2', (socket) => socket.write(rawAnswer('ran')));
+  it('does not run a request that was cancelled before it was processed', async () => {
+    const target = await configureEndpoint('n2', (socket) => socket.write(rawAnswer('ran')));
     const { relayPort } = await mesh.addNode('n2');
     const sender = await connectRelay(relayPort);
     const streamId = sender.request({ requestId: 'r1' });
@@ -354,7 +354,7 @@
   });
 
   it('keeps pipelined answers in order', async () => {
-    const target = await oneEndpoint('n2', (socket, head) => {
+    const target = await configureEndpoint('n2', (socket, head) => {
       const path = head.split(' ')[1] ?? '';
       const delayMs = path === '/first' ? 30 : 0;
       setTimeout(() => socket.write(rawAnswer(path)), delayMs);
--- a/test/proxy/server-drain.test.ts
+++ b/test/proxy/server-drain.test.ts
@@ -1,4 +1,4 @@
-/** A planned stop of HTTP servers: the states that it passes, and connections that wait or are idle. */
+/** A planned stop of HTTP servers: its states, and its treatment of pending and idle connections. */
 import { once } from 'node:events';
 import { Agent, createServer, type Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -21,42 +21,84 @@
 describe('planned stop of servers', () => {
   const cases = [
     { name: 'begins', elapsedMs: 0, quietForMs: 0, inFlight: 0, state: 'taking' },
-    { name: 'is quiet', elapsedMs: 300, quietForMs: 300, inFlight: 0, state: 'closed' },
-    { name: 'is quiet but busy', elapsedMs: 300, quietForMs: 300, inFlight: 1, state: 'taking' },
-    { name: 'never gets quiet', elapsedMs: 1_000, quietForMs: 5, inFlight: 0, state: 'refusing' },
-    { name: 'still serves', elapsedMs: 9_000, quietForMs: 8_000, inFlight: 1, state: 'refusing' },
-    { name: 'gets quiet late', elapsedMs: 1_400, quietForMs: 300, inFlight: 0, state: 'closed' },
+    {
+      name: 'has no arrivals for the quiet period',
+      elapsedMs: 300,
+      quietForMs: 300,
+      inFlight: 0,
+      state: 'closed',
+    },
+    {
+      name: 'has no arrivals but work in flight',
+      elapsedMs: 300,
+      quietForMs: 300,
+      inFlight: 1,
+      state: 'taking',
+    },
+    {
+      name: 'keeps receiving requests',
+      elapsedMs: 1_000,
+      quietForMs: 5,
+      inFlight: 0,
+      state: 'refusing',
+    },
+    {
+      name: 'still has work in flight',
+      elapsedMs: 9_000,
+      quietForMs: 8_000,
+      inFlight: 1,
+      state: 'refusing',
+    },
+    {
+      name: 'has a late quiet period',
+      elapsedMs: 1_400,
+      quietForMs: 300,
+      inFlight: 0,
+      state: 'closed',
+    },
     { name: 'has given up', elapsedMs: 29_800, quietForMs: 0, inFlight: 9, state: 'answering' },
-    { name: 'is over its time', elapsedMs: 30_000, quietForMs: 0, inFlight: 9, state: 'closing' },
-    { name: 'is over all bounds', elapsedMs: 30_200, quietForMs: 0, inFlight: 9, state: 'closed' },
+    {
+      name: 'has exceeded its timeout',
+      elapsedMs: 30_000,
+      quietForMs: 0,
+      inFlight: 9,
+      state: 'closing',
+    },
+    {
+      name: 'has exceeded all limits',
+      elapsedMs: 30_200,
+      quietForMs: 0,
+      inFlight: 9,
+      state: 'closed',
+    },
   ];
   for (const { name, state, elapsedMs, quietForMs, inFlight } of cases) {
     it(`is ${state} when it ${name}`, () => {
       const stop = new PlannedStop(LIMITS);
       stop.handle({ type: 'stop' }, 0);
-      const look = { type: 'look', inFlight, lastArrivalAtMs: elapsedMs - quietForMs } as const;
+      const check = { type: 'look', inFlight, lastArrivalAtMs: elapsedMs - quietForMs } as const;
       const effects = [1, 2, 3, 4, 5].flatMap(() => {
-        const due = stop.handle(look, elapsedMs);
-        if (due.includes('shut-listeners')) {
+        const newEffects = stop.handle(check, elapsedMs);
+        if (newEffects.includes('shut-listeners')) {
           stop.handle({ type: 'listeners-shut', acceptedCount: 0 }, elapsedMs);
         }
-        if (due.includes('close-peers')) {
+        if (newEffects.includes('close-peers')) {
           stop.handle({ type: 'peers-closed' }, elapsedMs);
         }
-        return due;
+        return newEffects;
       });
       expect(stop.state).to.equal(state);
       expect(effects).to.deep.equal([...new Set(effects)]);
     });
   }
 
-  it('goes on taking until callers can have noticed, though it is quiet', () => {
+  it('keeps accepting requests until callers can have noticed the stop, even without arrivals', () => {
     const stop = new PlannedStop({ ...LIMITS, stopNoticeMs: 800 });
     stop.handle({ type: 'stop' }, 0);
-    const look = { type: 'look', inFlight: 0, lastArrivalAtMs: -1_000 } as const;
-    expect(stop.handle(look, 799)).to.deep.equal([]);
+    const check = { type: 'look', inFlight: 0, lastArrivalAtMs: -1_000 } as const;
+    expect(stop.handle(check, 799)).to.deep.equal([]);
     expect(stop.state).to.equal('taking');
-    expect(stop.handle(look, 800)).to.deep.equal(['shut-listeners']);
+    expect(stop.handle(check, 800)).to.deep.equal(['shut-listeners']);
   });
 
   describe('on a real server', () => {
@@ -104,7 +146,7 @@
       });
     };
 
-    it('ends under callers who never stop calling', async () => {
+    it('ends while callers keep sending requests', async () => {
       let isOver = false;
       const keepCalling = async (): Promise<void> => {
         while (!isOver) {
@@ -119,7 +161,7 @@
       await Promise.all(callers);
     });
 
-    it('serves the connections that were set up before the listener was shut', async () => {
+    it('serves the connections that were established before the listener closed', async () => {
       const sockets = Array.from({ length: CONNECTIONS }, () => connect(port));
       const answers = sockets.map((socket) => readUntilClose(socket));
       await Promise.all(sockets.map((socket) => once(socket, 'connect')));
--- a/test/proxy/stop-after-pause.test.ts
+++ b/test/proxy/stop-after-pause.test.ts
@@ -1,4 +1,4 @@
-/** Guards against connections that are closed under a request which arrived while the process stood still. */
+/** Guards against closing a connection on which a request arrived while the process was suspended. */
 import type http from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { once } from 'node:events';
@@ -13,8 +13,8 @@
 
 const HOST = '127.0.0.1';
 const QUIET_MS = 50;
-/** For so long the process stands still, in milliseconds: longer than a request may lie unread. */
-const STILL_MS = 300;
+/** Duration of the suspension in milliseconds, longer than a request may stay unread. */
+const PAUSE_MS = 300;
 const IDLE_TIMEOUT_MS = 200;
 const REQUEST = 'GET / HTTP/1.1\r\nHost: a\r\n\r\n';
 const LIMITS = {
@@ -26,7 +26,7 @@
   stopCloseMs: 200,
 };
 
-describe('a connection whose caller sends while the process stands still', () => {
+describe('a connection whose caller sends while the process is suspended', () => {
   let server: http.Server;
   let connections: CallerConnections;
   let inFlight: number;
@@ -65,13 +65,13 @@
     await caller.close();
   });
 
-  it('is answered where the pause comes between the look of a stop and its close', async () => {
+  it('is answered if the process is suspended between the check of a stop and its close', async () => {
     const stop = new PlannedStop(LIMITS);
     let result: Promise<LateResult> | undefined;
     const pauseOnce = (): void => {
       const isQuiet = performance.now() - lastArrivalAtMs >= QUIET_MS;
       if (stop.state === 'refusing' && isQuiet && result === undefined) {
-        result = caller.sendWhileStill(STILL_MS);
+        result = caller.sendWhileStill(PAUSE_MS);
       }
     };
     await drainServers([server], {
@@ -91,14 +91,14 @@
     expect((await result)?.text).to.match(/^HTTP\/1.1 200 [^]*whole$/);
   });
 
-  it('is answered where the pause lasts over the end of its idle time', async () => {
+  it('is answered if its idle timeout expires during the suspension', async () => {
     server.keepAliveTimeout = IDLE_TIMEOUT_MS;
-    // The time-out is set as the answer goes out.
+    // The keep-alive timeout of a connection is set when its answer is sent.
     const first = caller;
     const { port } = server.address() as AddressInfo;
     caller = await LateCaller.start({ host: HOST, port, first: REQUEST, request: REQUEST });
     await first.close();
-    // Timers come next after this callback, and only then what waits in the system.
+    // After this callback, the event loop runs timers before it reads pending data from sockets.
     await new Promise(setImmediate);
     const { text } = await caller.sendWhileStill(IDLE_TIMEOUT_MS * 6);
     expect(text).to.match(/^HTTP\/1.1 200 [^]*whole$/);
--- a/test/proxy/stop-behind-large-answer.test.ts
+++ b/test/proxy/stop-behind-large-answer.test.ts
@@ -1,4 +1,4 @@
-/** Guards against finished answers that are cut at the end of a stop behind a large one that is fetched slowly. */
+/** Guards against complete answers that are cut off at the end of a stop behind a large, slowly forwarded one. */
 import net, { type Socket } from 'node:net';
 import { setTimeout as delay } from 'node:timers/promises';
 import { expect } from 'chai';
@@ -15,9 +15,9 @@
 import { DelayedLink } from './relay/delayed-link.js';
 
 const LARGE_BYTES = 400_000;
-/** Each way between the nodes, in milliseconds. */
+/** One-way delay between the nodes, in milliseconds. */
 const LINK_DELAY_MS = 150;
-/** A round trip, and one more for the request itself, fit into the stop several times, in milliseconds. */
+/** The stop lasts several times as long as two round trips, one of them for the request itself. */
 const LIMITS = {
   stopNoticeMs: 100,
   stopAcceptMs: 700,
@@ -25,19 +25,19 @@
   stopAnswerMs: 250,
   stopQuietMs: 30,
 };
-/** A caller that reads late begins within the stop, in milliseconds. */
-const READS_LATE_MS = 1_000;
+/** Delay before a slow caller reads, in milliseconds; it ends within the stop. */
+const READ_DELAY_MS = 1_000;
 const REQUESTS = ['/large', '/small', '/small']
   .map((path) => `GET ${path} HTTP/1.1\r\nHost: a\r\n\r\n`)
   .join('');
 
-/** An answer whose end is told by its last chunk. */
+/** A complete answer with chunked transfer coding. */
 function chunkedAnswer(body: string): string {
   const chunk = `${body.length.toString(16)}\r\n${body}\r\n0\r\n\r\n`;
   return `HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n${chunk}`;
 }
 
-describe('answers behind a large one, at a node that stops', () => {
+describe('answers behind a large one at a stopping node', () => {
   let mesh: TestMesh;
   let target: RawEndpoint;
   let link: DelayedLink;
@@ -59,9 +59,9 @@
       }
     });
     mesh.configure([...echoService(), echoEndpoint('e1', target.port, { machine: 'n2' })]);
-    const beside = await mesh.addNode('n2');
-    link = await DelayedLink.start(beside.relayPort, LINK_DELAY_MS);
-    mesh.nodes[0] = { ...beside, relayPort: link.port };
+    const owner = await mesh.addNode('n2');
+    link = await DelayedLink.start(owner.relayPort, LINK_DELAY_MS);
+    mesh.nodes[0] = { ...owner, relayPort: link.port };
     node = await mesh.addNode('n1', LIMITS);
     socket = connect();
   });
@@ -83,21 +83,21 @@
     socket.on('data', (chunk) => (text += chunk.toString('latin1')));
   }
 
-  /** Bytes of the large answer, without the sizes of its chunks, and the small ones behind it. */
+  /** Body bytes received of the large answer, and the number of small answers behind it. */
   function received(): { large: number; small: number } {
     return {
-      large: text.split('.').length - 1 - dotsOfHeads(),
+      large: text.split('.').length - 1 - dotsInHeads(),
       small: text.split('small').length - 1,
     };
   }
 
-  function dotsOfHeads(): number {
+  function dotsInHeads(): number {
     return text.split('HTTP/1.1').length - 1;
   }
 
-  const whole = { large: LARGE_BYTES, small: 2 };
+  const complete = { large: LARGE_BYTES, small: 2 };
 
-  it('come whole where the large one is on its way as the stop begins', async () => {
+  it('are complete if the large one is being forwarded when the stop begins', async () => {
     node = await mesh.addNode('n1', { ...LIMITS, stopTimeoutMs: 700 });
     socket.destroy();
     socket = connect();
@@ -105,30 +105,30 @@
     socket.write(REQUESTS);
     await until(() => text.includes('..'));
     await node.proxy.stop();
-    expect(received()).to.deep.equal(whole);
+    expect(received()).to.deep.equal(complete);
   });
 
   for (const [framing, chunked] of [
     ['with a length', false],
     ['without a length', true],
   ] as const) {
-    it(`come whole where the requests come after the stop began, ${framing}`, async () => {
+    it(`are complete if the requests arrive after the stop has begun, ${framing}`, async () => {
       isChunked = chunked;
       read();
       const stopped = node.proxy.stop();
       socket.write(REQUESTS);
       await stopped;
-      expect(received()).to.deep.equal(whole);
+      expect(received()).to.deep.equal(complete);
     });
   }
 
-  it('come whole to a caller that reads nothing for most of the stop', async () => {
+  it('are complete for a caller that reads nothing for most of the stop', async () => {
     socket.write(REQUESTS);
     await until(() => target.heads.length === 3);
     const stopped = node.proxy.stop();
-    await delay(READS_LATE_MS);
+    await delay(READ_DELAY_MS);
     read();
     await stopped;
-    expect(received()).to.deep.equal(whole);
+    expect(received()).to.deep.equal(complete);
   });
 });
--- a/test/proxy/stop-behind-requests.test.ts
+++ b/test/proxy/stop-behind-requests.test.ts
@@ -1,12 +1,11 @@
 /**
- * A planned stop under callers that always have one more request behind the one that is answered.
+ * A planned stop with callers that always have another pipelined request pending.
  *
- * The answer that would close such a connection finds a request behind it and keeps the connection open, until new
- * work is refused. What was begun is answered, what comes after that is told that it has not run, and what is sent
- * behind the last answer is not begun: its caller sends it again elsewhere. Beginning nothing behind others from
- * the start of the stop was tried: callers come back to the same node on a new connection until the platform sends
- * them elsewhere, so that stops were as long (5.6 s at most, before and after), and twice as many requests were sent
- * again.
+ * An answer that would close such a connection keeps it open because of the pending request, until new work is
+ * refused. Requests that were started are answered, later ones get the verdict `not-run`, and requests sent after
+ * the last answer are not started: their callers retry them elsewhere. Refusing to start pipelined requests from the
+ * beginning of the stop does not help: callers reconnect to the same node until the platform sends them elsewhere,
+ * so stops take as long (at most 5.6 s in both cases) and twice as many requests are retried.
  */
 import net, { type Socket } from 'node:net';
 import { expect } from 'chai';
@@ -21,11 +20,11 @@
   type TestNode,
 } from './rig.js';
 
-const READ = 'GET / HTTP/1.1\r\nHost: a\r\n\r\n';
+const REQUEST = 'GET / HTTP/1.1\r\nHost: a\r\n\r\n';
 const WORK_MS = 100;
-/** Requests that have come before the stop. */
+/** Number of requests that arrive before the stop. */
 const FIRST_REQUESTS = 3;
-/** Bounds of the stop, in milliseconds: callers that leave end it after the first, others after the second. */
+/** Limits of the stop in milliseconds: it ends after the first if callers disconnect, else after the second. */
 const NOTICE_MS = 100;
 const ACCEPT_MS = 2_000;
 const LIMITS = {
@@ -35,19 +34,19 @@
   stopQuietMs: 30,
 };
 
-describe('a planned stop under a caller with requests behind each other', () => {
+describe('a planned stop with a caller that pipelines requests', () => {
   let mesh: TestMesh;
   let target: RawEndpoint;
   let node: TestNode;
   let socket: Socket;
   let text: string;
-  let answerAt: (idx: number) => number;
+  let workMsFor: (idx: number) => number;
 
   beforeEach(async () => {
     mesh = new TestMesh();
-    answerAt = () => WORK_MS;
+    workMsFor = () => WORK_MS;
     target = await startRawEndpoint((endpoint, _head, idx) => {
-      setTimeout(() => endpoint.write(rawAnswer(`answer ${idx}.`)), answerAt(idx));
+      setTimeout(() => endpoint.write(rawAnswer(`answer ${idx}.`)), workMsFor(idx));
     });
     mesh.configure([...echoService(), echoEndpoint('e1', target.port, { machine: 'n1' })]);
     node = await mesh.addNode('n1', LIMITS);
@@ -62,9 +61,9 @@
     target.close();
   });
 
-  /** Sends a request before the one before it is answered, until it is told that the connection closes. */
+  /** Sends each request before the previous one is answered, until an answer has `Connection: close`. */
   function keepSending(): void {
-    const timer = setInterval(() => socket.write(READ), WORK_MS / 2);
+    const timer = setInterval(() => socket.write(REQUEST), WORK_MS / 2);
     socket.once('close', () => clearInterval(timer));
     socket.on('data', (chunk) => {
       text += chunk.toString('latin1');
@@ -74,16 +73,16 @@
     });
   }
 
-  it('ends once new work is refused and what was begun is answered', async () => {
+  it('ends once new work is refused and all started requests are answered', async () => {
     keepSending();
     await until(() => target.heads.length > FIRST_REQUESTS);
-    const beganAtMs = performance.now();
+    const startedAtMs = performance.now();
     await node.proxy.stop();
-    expect(performance.now() - beganAtMs).to.be.below(ACCEPT_MS + 5 * WORK_MS);
+    expect(performance.now() - startedAtMs).to.be.below(ACCEPT_MS + 5 * WORK_MS);
     expect(text).to.match(/Connection: close\r\n[^]*$/);
   });
 
-  it('answers each request in its turn, up to the one that closes the connection', async () => {
+  it('answers the requests in order, up to the one that closes the connection', async () => {
     keepSending();
     await until(() => target.heads.length > FIRST_REQUESTS);
     await node.proxy.stop();
@@ -93,14 +92,14 @@
     expect(text.split(' 503 ').length - 1).to.equal(text.split('verdict: not-run').length - 1);
   });
 
-  it('begins what comes behind an answer that is ready and did not say that it closes', async () => {
-    answerAt = (idx) => (idx === 1 ? 4 * WORK_MS : 0);
+  it('starts a request that is pipelined behind a queued answer without Connection: close', async () => {
+    workMsFor = (idx) => (idx === 1 ? 4 * WORK_MS : 0);
     socket.on('data', (chunk) => (text += chunk.toString('latin1')));
-    socket.write(READ.repeat(2));
+    socket.write(REQUEST.repeat(2));
     await until(() => target.heads.length === 2);
     await new Promise((resolve) => setTimeout(resolve, WORK_MS));
     const stopped = node.proxy.stop();
-    socket.write(READ);
+    socket.write(REQUEST);
     await stopped;
     expect(text).to.match(/answer 1\.[^]*answer 2\.[^]*answer 3\.$/);
   });
--- a/test/proxy/unread-answer.test.ts
+++ b/test/proxy/unread-answer.test.ts
@@ -1,12 +1,11 @@
 /**
- * Callers that read late and go on sending while a node closes their connection.
+ * Guards against answers that are lost if a caller reads late and keeps sending while a node closes its connection.
  *
- * A node that was told to stop wrote the last answer and closed the socket at once. What its caller had sent
- * behind was unread then, or arrived at a socket that was gone, and the system answered with a reset: the
- * caller, which was just writing, got the error before it had read the answers that had arrived, and what was
- * still on its way was thrown away. In a soak of real processes with 8 to 16 nodes, 18 answers that back ends
- * had made in full were lost so, on 14 connections; each time the caller had written 0.1 ms to 0.4 ms before,
- * and none was lost where callers read at once.
+ * If a stopping node writes the last answer and closes the socket at once, later data of the caller is unread or
+ * arrives at a closed socket, and the kernel responds with a reset. A caller that is writing gets the error before
+ * it has read the answers that have arrived, and data in transit is discarded. In a soak test of real processes with
+ * 8 to 16 nodes, 18 complete answers of back ends on 14 connections were lost this way. Each time the caller had
+ * written 0.1 ms to 0.4 ms before; no answer was lost if callers read at once.
  */
 import net, { type Socket } from 'node:net';
 import { setTimeout as delay } from 'node:timers/promises';
@@ -22,25 +21,25 @@
   type TestNode,
 } from './rig.js';
 
-const READ = 'GET / HTTP/1.1\r\nHost: a\r\n\r\n';
-/** More than a node may keep in memory, and less than the system does for a caller that does not read. */
+const REQUEST = 'GET / HTTP/1.1\r\nHost: a\r\n\r\n';
+/** More than a node may buffer in memory, and less than the kernel buffers for a caller that does not read. */
 const LARGE_BYTES = 400_000;
 const UPLOAD_BYTES = 360_000;
-/** Time that the endpoint takes, in milliseconds. */
+/** Time that the endpoint takes for an answer, in milliseconds. */
 const WORK_MS = 60;
-/** Time after which the caller begins to read, in milliseconds, and time between two of its writes. */
-const READS_AFTER_MS = 400;
-const WRITES_EACH_MS = 20;
+/** Time until the caller starts to read, and time between two of its writes, in milliseconds. */
+const READ_DELAY_MS = 400;
+const WRITE_INTERVAL_MS = 20;
 
 interface Caller {
   readonly socket: Socket;
-  /** Everything that it has read. */
+  /** All data that the caller has read. */
   text: string;
   error: string | undefined;
   isClosed: boolean;
 }
 
-describe('a caller that reads late and goes on sending', () => {
+describe('a caller that reads late and keeps sending', () => {
   let mesh: TestMesh;
   let target: RawEndpoint;
   let node: TestNode;
@@ -63,7 +62,7 @@
     target.close();
   });
 
-  /** A caller that does not read yet. */
+  /** Connects a caller that does not read until `read` is called. */
   function connect(): Caller {
     const socket = net.connect({ port: node.callerPort, host: '127.0.0.1' });
     const caller: Caller = { socket, text: '', error: undefined, isClosed: false };
@@ -73,22 +72,21 @@
     return caller;
   }
 
-  /** Reads from now on. */
   function read(caller: Caller): void {
     caller.socket.on('data', (chunk) => (caller.text += chunk.toString('latin1')));
   }
 
-  /** Sends further reads until it has read for the first time, as callers do that write in turns of their own. */
-  async function sendOnThenRead(caller: Caller): Promise<void> {
-    for (let waitedMs = 0; waitedMs < READS_AFTER_MS; waitedMs += WRITES_EACH_MS) {
-      caller.socket.write(READ);
-      await delay(WRITES_EACH_MS);
+  /** Keeps sending requests before it starts to read, like callers that write independently of their reads. */
+  async function keepSendingThenRead(caller: Caller): Promise<void> {
+    for (let waitedMs = 0; waitedMs < READ_DELAY_MS; waitedMs += WRITE_INTERVAL_MS) {
+      caller.socket.write(REQUEST);
+      await delay(WRITE_INTERVAL_MS);
     }
     read(caller);
     await until(() => caller.isClosed);
   }
 
-  function wholeAnswers(text: string, bytes: number): number {
+  function completeAnswers(text: string, bytes: number): number {
     return text.split('.'.repeat(bytes)).length - 1;
   }
 
@@ -99,12 +97,12 @@
     it(`gets the ${size} answer with which a stopping node closes its connection`, async () => {
       answerBytes = bytes;
       const caller = connect();
-      caller.socket.write(READ);
+      caller.socket.write(REQUEST);
       await until(() => target.heads.length === 1);
       const stopped = node.proxy.stop();
       await delay(2 * WORK_MS);
-      await sendOnThenRead(caller);
-      expect({ error: caller.error, answers: wholeAnswers(caller.text, bytes) }).to.deep.equal({
+      await keepSendingThenRead(caller);
+      expect({ error: caller.error, answers: completeAnswers(caller.text, bytes) }).to.deep.equal({
         error: undefined,
         answers: 1,
       });
@@ -112,44 +110,44 @@
     });
   }
 
-  it('gets the answers before the one that closes its connection too', async () => {
+  it('also gets the answers before the one that closes its connection', async () => {
     const caller = connect();
-    caller.socket.write(READ.repeat(3));
+    caller.socket.write(REQUEST.repeat(3));
     await until(() => target.heads.length === 3);
     const stopped = node.proxy.stop();
     await delay(2 * WORK_MS);
-    await sendOnThenRead(caller);
-    expect(wholeAnswers(caller.text, answerBytes)).to.equal(3);
+    await keepSendingThenRead(caller);
+    expect(completeAnswers(caller.text, answerBytes)).to.equal(3);
     await stopped;
   });
 
-  it('gets the answer that came just before a stopping node closed its idle connection', async () => {
+  it('gets the answer that was sent just before a stopping node closed its idle connection', async () => {
     const caller = connect();
-    caller.socket.write(READ);
+    caller.socket.write(REQUEST);
     await until(() => node.counters.get('ferryspool_requests_total') === 1);
     await delay(2 * WORK_MS);
     const stopped = node.proxy.stop();
     await delay(200);
-    await sendOnThenRead(caller);
-    expect(wholeAnswers(caller.text, answerBytes)).to.equal(1);
+    await keepSendingThenRead(caller);
+    expect(completeAnswers(caller.text, answerBytes)).to.equal(1);
     await stopped;
   });
 
-  it('gets the refusal of an upload that it goes on sending', async () => {
+  it('gets the refusal of an upload that it keeps sending', async () => {
     mesh.configure([]);
     const caller = connect();
     caller.socket.write(`POST / HTTP/1.1\r\nHost: a\r\nContent-Length: ${UPLOAD_BYTES}\r\n\r\n`);
-    const pieces = READS_AFTER_MS / WRITES_EACH_MS;
-    for (let sent = 0; sent < pieces; sent += 1) {
-      caller.socket.write('.'.repeat(UPLOAD_BYTES / pieces));
-      await delay(WRITES_EACH_MS);
+    const chunkCount = READ_DELAY_MS / WRITE_INTERVAL_MS;
+    for (let sent = 0; sent < chunkCount; sent += 1) {
+      caller.socket.write('.'.repeat(UPLOAD_BYTES / chunkCount));
+      await delay(WRITE_INTERVAL_MS);
     }
     read(caller);
     await until(() => caller.isClosed);
     expect(caller.text).to.match(/^HTTP\/1\.1 404 /);
   });
 
-  it('gets the answers before one that breaks off', async () => {
+  it('gets the answers before a truncated one', async () => {
     target.close();
     target = await startRawEndpoint((socket, _head, index) => {
       const head = 'HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n';
@@ -159,12 +157,12 @@
     });
     mesh.configure([...echoService(), echoEndpoint('e1', target.port, { machine: 'n1' })]);
     const caller = connect();
-    caller.socket.write(READ);
+    caller.socket.write(REQUEST);
     await until(() => target.heads.length === 1);
-    caller.socket.write(READ);
+    caller.socket.write(REQUEST);
     await delay(3 * WORK_MS);
-    await sendOnThenRead(caller);
-    expect(wholeAnswers(caller.text, answerBytes)).to.equal(1);
+    await keepSendingThenRead(caller);
+    expect(completeAnswers(caller.text, answerBytes)).to.equal(1);
     expect(caller.text).not.to.contain('-'.repeat(400_000));
   });
 });
--- a/test/proxy/unsent-at-silence.test.ts
+++ b/test/proxy/unsent-at-silence.test.ts
@@ -1,11 +1,10 @@
 /**
- * Requests under way at a peer that has not asked for their bodies, so that they can have reached no
- * endpoint.
+ * Requests in flight at a peer that has not requested their bodies, so that they cannot have reached an endpoint.
  *
- * A machine that loses its power resets no connection; its peers notice its silence. A request that may
- * run only once goes elsewhere then, since it has provably not run, instead of waiting for its deadline
- * beside endpoints with free slots. A caller that leaves is noticed although nothing reads its connection
- * while its body waits: else the upload would go on to an endpoint once the peer asks for it.
+ * A machine that loses power resets no connections; its peers detect that it is unresponsive. A request that is not
+ * repeatable is then sent to another endpoint, since it has provably not run, instead of waiting for its deadline
+ * while other endpoints have free slots. The disconnect of a caller is detected although its connection is not read
+ * while its body is pending: otherwise the upload would reach an endpoint once the peer requests it.
  */
 import { once } from 'node:events';
 import http from 'node:http';
@@ -31,10 +30,10 @@
 const UPLOAD_BYTES = 60_000;
 const LONG_UPLOAD_BYTES = 200_000;
 const DEADLINE_MS = 3_000;
-/** Time in which the peer has to be told that a caller left, in milliseconds. */
+/** Time limit for the cancellation to reach the peer after its caller disconnects, in milliseconds. */
 const CANCEL_MS = 500;
 
-describe('a request whose body its peer has not asked for', () => {
+describe('a request whose body its peer has not requested', () => {
   const mesh = new TestMesh();
   const sockets = new Set<Duplex>();
   let peer: http.Server;
@@ -70,7 +69,7 @@
     return received.some((frame) => frame.kind === kind);
   }
 
-  /** A node that prefers the endpoint beside the silent peer, and has another one in another zone. */
+  /** Adds a node that prefers the endpoint of the unresponsive peer and has another one in another zone. */
   async function addNode(): Promise<TestNode> {
     const node = await mesh.addNode('n1', { maxRedirects: 1 });
     const { port: relayPort } = peer.address() as AddressInfo;
@@ -83,7 +82,7 @@
     return node;
   }
 
-  it('goes to another endpoint when the peer is silent, though it may not be repeated', async () => {
+  it('is sent to another endpoint when the peer is unresponsive, even if it is not repeatable', async () => {
     const { callerPort, proxy } = await addNode();
     const answered = call(callerPort, {
       method: 'POST',
@@ -95,7 +94,7 @@
     expect((await answered).status).to.equal(200);
   });
 
-  it('goes on waiting at a silent peer that may have run it', async () => {
+  it('keeps waiting for an unresponsive peer that may have run it', async () => {
     const { callerPort, proxy } = await addNode();
     const answered = call(callerPort, { method: 'POST', headers: { 'x-deadline-ms': 300 } });
     await until(() => hasReceived('request'));
@@ -106,7 +105,7 @@
   });
 
   for (const bytes of [UPLOAD_BYTES, LONG_UPLOAD_BYTES]) {
-    it(`is cancelled at once when its caller leaves, with ${bytes} bytes`, async () => {
+    it(`is cancelled at once when its caller disconnects, with ${bytes} bytes`, async () => {
       const { callerPort } = await addNode();
       const caller = net.connect(callerPort, HOST);
       caller.on('error', () => undefined);
