--- a/test/source/reader-process.ts
+++ b/test/source/reader-process.ts
@@ -1,4 +1,4 @@
-/** One process of the reader world: a source reader with a clock of its own. */
+/** A process of the simulated reader world: a source reader with its own clock. */
 import type { ControlEvent } from '../../src/control/control-event.js';
 import type { PeerAddress, PeerIdentity } from '../../src/membership/peer-identity.js';
 import type { Machine } from '../../src/model/machine.js';
@@ -11,11 +11,11 @@
   machinesIntervalMs: 3_000,
   requestTimeoutMs: 2_000,
 } as const;
-/** Clocks run up to this much faster or slower than the world's. */
+/** Maximum fraction by which a clock runs faster or slower than simulated time. */
 const CLOCK_DRIFT = 0.015;
 
-/** What a process is given by its world. */
-export interface ProcessSurroundings {
+/** Environment of a process, provided by its world. */
+export interface ProcessEnvironment {
   readonly nowMs: number;
   readonly random: () => number;
   readonly readerShares: ReaderShares;
@@ -23,7 +23,7 @@
   listAt(number: number): readonly Machine[];
 }
 
-/** A seeded generator (mulberry32), uniform in [0, 1). */
+/** Creates a seeded generator (mulberry32), uniform in [0, 1). */
 export function seededRandom(seed: number): () => number {
   let state = seed >>> 0;
   return () => {
@@ -34,14 +34,14 @@
   };
 }
 
-/** One process on one machine. */
+/** A simulated process on a machine. */
 export class WorldProcess {
   readonly identity: PeerIdentity;
   readonly reader: SourceReader;
   isAlive = true;
   isPaused = false;
-  /** How far its wall clock was set forward, which its clock follows. */
-  aheadMs = 0;
+  /** Time by which the wall clock was set forward; the event clock follows it. */
+  wallClockLeadMs = 0;
   /** Whether it held a lease after its last event. */
   isHolder = false;
   heldList = 0;
@@ -55,7 +55,7 @@
   constructor(
     readonly machine: Machine,
     incarnation: number,
-    world: ProcessSurroundings,
+    world: ProcessEnvironment,
   ) {
     const { id, address, controlPort, relayPort, zone, region } = machine;
     this.identity = { id, incarnation, address, controlPort, relayPort, zone, region };
@@ -89,7 +89,7 @@
   }
 
   localMs(worldMs: number): number {
-    return this.steadyMs(worldMs) + this.aheadMs;
+    return this.steadyMs(worldMs) + this.wallClockLeadMs;
   }
 
   private steadyMs(worldMs: number): number {
@@ -97,6 +97,6 @@
   }
 
   worldMs(localMs: number): number {
-    return (localMs - this.aheadMs - this.offsetMs) / this.rate;
+    return (localMs - this.wallClockLeadMs - this.offsetMs) / this.rate;
   }
 }
