--- a/test/proxy/claim-at-stop.test.ts
+++ b/test/proxy/claim-at-stop.test.ts
@@ -70,7 +70,7 @@
     return { answer, givenUp: givenUp() };
   }
 
-  function expectRefusal({ status, headers, body, isComplete: isWhole }: CallerResult): void {
+  function expectRefusal({ status, headers, body, isWhole }: CallerResult): void {
     const { code } = JSON.parse(body === '' ? '{}' : body) as { code?: string };
     expect([status, headers[VERDICT_HEADER], code, isWhole]).to.deep.equal([
       503,
--- a/test/proxy/kept-fault.test.ts
+++ b/test/proxy/kept-fault.test.ts
@@ -60,7 +60,7 @@
       it(`is passed on where there is no other endpoint (${form}, ${machine})`, async () => {
         await configure(fault, undefined, machine);
         const result = await call(node.callerPort);
-        expect(result).to.include({ status: 500, body: 'fault', isComplete: true });
+        expect(result).to.include({ status: 500, body: 'fault', isWhole: true });
         expect(result.headers['x-origin']).to.equal('e1');
       });
     }
--- a/test/proxy/leaving.test.ts
+++ b/test/proxy/leaving.test.ts
@@ -141,9 +141,7 @@
     const stopped = Promise.all([near.proxy.stop(), far.proxy.stop()]);
     const late = call(near.callerPort, { agent, method: 'POST' });
     const results = await Promise.all([...inFlight, late]);
-    expect(results.every(({ status, isComplete: isWhole }) => status === 200 && isWhole)).to.equal(
-      true,
-    );
+    expect(results.every(({ status, isWhole }) => status === 200 && isWhole)).to.equal(true);
     expect(results.map(({ headers }) => headers.connection)).to.deep.equal(Array(9).fill('close'));
     await stopped;
     expect(near.proxy.callerServer.listening).to.equal(false);
--- a/test/proxy/relay/silent-connections.test.ts
+++ b/test/proxy/relay/silent-connections.test.ts
@@ -175,7 +175,7 @@
     link.dropTraffic('from');
     const silentFromMs = performance.now();
     const result = await answer;
-    expect(result).to.include({ status: 200, body: 'half', isComplete: false });
+    expect(result).to.include({ status: 200, body: 'half', isWhole: false });
     expect(performance.now() - silentFromMs).to.be.below(FAILED_WITHIN_MS);
   }
 
--- a/test/proxy/request-proxy.test.ts
+++ b/test/proxy/request-proxy.test.ts
@@ -105,7 +105,7 @@
       const { callerPort } = await mesh.addNode('n1');
       await mesh.addNode('n2');
       const result = await call(callerPort, { method });
-      expect(result).to.include({ status: Number(raw.split(' ')[1]), body: '', isComplete: true });
+      expect(result).to.include({ status: Number(raw.split(' ')[1]), body: '', isWhole: true });
       expect(result.headers['content-length']).to.equal(/Length: (\d+)/.exec(raw)?.[1]);
     });
   }
@@ -115,7 +115,7 @@
     await configureEndpoint('n2', (socket) => socket.write(`${head}part`));
     const { callerPort } = await mesh.addNode('n1', { answerIdleTimeoutMs: 50 });
     await mesh.addNode('n2', { answerIdleTimeoutMs: 50 });
-    expect(await call(callerPort)).to.include({ body: 'part', isComplete: false });
+    expect(await call(callerPort)).to.include({ body: 'part', isWhole: false });
   });
 
   it('streams a large request body and a chunked answer', async () => {
@@ -127,7 +127,7 @@
     await mesh.addNode('n2');
     const body = Buffer.alloc(300_000, 'b');
     const result = await call(callerPort, { method: 'POST', body });
-    expect(result).to.include({ status: 200, body: 'firstsecond', isComplete: true });
+    expect(result).to.include({ status: 200, body: 'firstsecond', isWhole: true });
     expect(target.received[0]).to.have.length.greaterThan(300_000);
   });
 
--- a/test/proxy/rig.ts
+++ b/test/proxy/rig.ts
@@ -197,7 +197,7 @@
   readonly headers: http.IncomingHttpHeaders;
   readonly body: string;
   /** False if the connection closed before the end of the answer. */
-  readonly isComplete: boolean;
+  readonly isWhole: boolean;
 }
 
 /** Options of {@link call}. */
@@ -220,7 +220,7 @@
       headers: options.headers ?? {},
       agent: options.agent ?? false,
     });
-    request.on('error', () => resolve({ status: 0, headers: {}, body: '', isComplete: false }));
+    request.on('error', () => resolve({ status: 0, headers: {}, body: '', isWhole: false }));
     request.on('response', (answer) => {
       let body = '';
       answer.setEncoding('latin1');
@@ -230,7 +230,7 @@
       answer.on('error', () => undefined);
       answer.on('close', () => {
         const { statusCode: status = 0, headers, complete: isWhole } = answer;
-        resolve({ status, headers, body, isComplete: isWhole });
+        resolve({ status, headers, body, isWhole: isWhole });
       });
     });
     request.end(options.body);
