--- a/test/proxy/endpoint-faults.test.ts
+++ b/test/proxy/endpoint-faults.test.ts
@@ -341,7 +341,7 @@
 });
 
 function summaryOf(result: CallerResult): string {
-  if (!result.isComplete) {
+  if (!result.isWhole) {
     return 'broken';
   }
   if (result.body === 'healthy') {
