--- a/test/proxy/rig.ts
+++ b/test/proxy/rig.ts
@@ -230,7 +230,7 @@
       answer.on('error', () => undefined);
       answer.on('close', () => {
         const { statusCode: status = 0, headers, complete: isWhole } = answer;
-        resolve({ status, headers, body, isWhole: isWhole });
+        resolve({ status, headers, body, isWhole });
       });
     });
     request.end(options.body);
