--- a/test/proxy/paused-reading.test.ts
+++ b/test/proxy/paused-reading.test.ts
@@ -2,9 +2,9 @@
  * Guards against a deadline that ignores the time for which a pipelined request was unread.
  *
  * While more than a limit of answer bytes is queued behind an earlier answer, or for a caller that does not read,
- * Node.js stops reading from the connection. Later requests stay in the socket receive buffer. Their deadlines were
- * counted from the moment at which they were read: in a soak test, back ends received a deadline of 4,928 ms for a
- * request that had 3,998 ms left.
+ * Node.js stops reading from the connection. Later requests stay in the socket receive buffer. If their deadlines
+ * are counted from the moment at which they are read, back ends receive too much time: in a soak test, a deadline
+ * of 4,928 ms for a request that has 3,998 ms left.
  */
 import net, { type Socket } from 'node:net';
 import { setTimeout as delay } from 'node:timers/promises';
--- a/test/proxy/reborn-endpoint.test.ts
+++ b/test/proxy/reborn-endpoint.test.ts
@@ -250,7 +250,7 @@
     expect(world.gateway.load(reborn, 'all').failureShare).to.equal(0);
   });
 
-  it('keeps a reservation for a body in transit, and releases it when requested', () => {
+  it('keeps the reservations of bodies in transit across the restart, until they are cancelled', () => {
     const before = world.current;
     const arrival = { beginsAtMs: 0, endsAtMs: 0 };
     expect(world.gateway.reserve(before, callOf('body-1'), arrival)).to.equal(undefined);
--- a/test/proxy/signal-age.test.ts
+++ b/test/proxy/signal-age.test.ts
@@ -17,7 +17,7 @@
     expect(pauses.signalAgeMs(900)).to.equal(800);
   });
 
-  it('is counted from the tick before a late tick for one check interval', () => {
+  it('is the time since the tick before a late one, until one check interval after the late tick', () => {
     const pauses = new PauseDetector(0);
     pauses.tick(100);
     pauses.tick(900);
--- a/test/proxy/stop-behind-large-answer.test.ts
+++ b/test/proxy/stop-behind-large-answer.test.ts
@@ -17,7 +17,7 @@
 const LARGE_BYTES = 400_000;
 /** One-way delay between the nodes, in milliseconds. */
 const LINK_DELAY_MS = 150;
-/** The stop lasts several times as long as two round trips, one of them for the request itself. */
+/** The stop lasts several times as long as two round trips, one of them for the request itself; in milliseconds. */
 const LIMITS = {
   stopNoticeMs: 100,
   stopAcceptMs: 700,
--- a/test/proxy/stop-window.test.ts
+++ b/test/proxy/stop-window.test.ts
@@ -2,8 +2,8 @@
  * Guards against a request that is cut off when it arrives between the end of the drain and the end of a planned
  * stop. The drain ends once nothing has been in flight for the quiet period; the node then waits up to 200 ms for
  * the connections to its peers to close. A caller connection that has not sent a request is not treated as idle
- * and stays open during that time. A request on it is run, since requests are refused only seconds later, and was
- * cut off with the connection at the end of the 200 ms.
+ * and stays open during that time. A request on it is run, since requests are refused only seconds later, and would
+ * be cut off with the connection at the end of the 200 ms.
  */
 import { once } from 'node:events';
 import http from 'node:http';
--- a/test/proxy/unsent-at-deadline.test.ts
+++ b/test/proxy/unsent-at-deadline.test.ts
@@ -1,7 +1,7 @@
 /**
  * Guards against a `may-have-run` verdict for a request that cannot have reached an endpoint by its deadline.
- * With the verdict `not-run`, a caller can also retry a request that is not repeatable. Thousands of requests got
- * the wrong verdict while their nodes waited for a connection to a peer, or for the peer to accept their body.
+ * With the verdict `not-run`, a caller can also retry a request that is not repeatable. The wrong verdict affects
+ * thousands of requests while their nodes wait for a connection to a peer, or for the peer to accept their body.
  */
 import { once } from 'node:events';
 import net, { type AddressInfo, type Socket } from 'node:net';
