--- a/test/proxy/request-lifecycle.test.ts
+++ b/test/proxy/request-lifecycle.test.ts
@@ -1,4 +1,4 @@
-/** Retries, budgets and verdicts of one request, as tables of events and effects. */
+/** Tests retries, retry budgets and verdicts of a single request by its sequences of events and effects. */
 import { expect } from 'chai';
 import type { RequestFailure } from '../../src/proxy/request-error.js';
 import {
@@ -15,7 +15,7 @@
 const late: RequestFailure = { code: 'LATE', verdict: 'may-have-run', retryable: false };
 
 const START: RequestEvent = { type: 'start' };
-const AGAIN: RequestEvent = { type: 'back-off-over' };
+const BACK_OFF_OVER: RequestEvent = { type: 'back-off-over' };
 const failed = (attempt: number, failure: RequestFailure, canReplay = true): RequestEvent => ({
   type: 'failed',
   attempt,
@@ -28,9 +28,9 @@
   failure,
   canReplay: true,
 });
-const whole = (attempt: number): RequestEvent => ({ type: 'answer-whole', attempt });
+const answerComplete = (attempt: number): RequestEvent => ({ type: 'answer-whole', attempt });
 const answered = (attempt: number): RequestEvent => ({ type: 'answered', attempt });
-const broken = (attempt: number, wasPassedOn: boolean): RequestEvent => ({
+const answerBroken = (attempt: number, wasPassedOn: boolean): RequestEvent => ({
   type: 'answer-broken',
   attempt,
   failure: lost,
@@ -51,255 +51,260 @@
   readonly repeatable?: boolean;
   readonly retries?: number;
   readonly events: readonly RequestEvent[];
-  /** Last effects, as text. */
+  /** Effects of the last event, as text. */
   readonly expected: string;
 }
 
 const rows: readonly Row[] = [
-  { name: 'a refusal is sent elsewhere', events: [START, failed(1, notRun)], expected: 'back-off' },
+  { name: 'retries a refused request', events: [START, failed(1, notRun)], expected: 'back-off' },
   {
-    name: 'a loss is not, when it may run once',
+    name: 'does not retry a lost request that is not repeatable',
     events: [START, failed(1, lost)],
     expected: 'LOST may-have-run',
   },
   {
-    name: 'a loss is, when it may be repeated',
+    name: 'retries a lost request that is repeatable',
     repeatable: true,
     events: [START, failed(1, lost)],
     expected: 'back-off',
   },
   {
-    name: 'not without its body',
+    name: 'does not retry without a replayable body',
     repeatable: true,
     events: [START, failed(1, notRun, false)],
     expected: 'REFUSED not-run',
   },
   {
-    name: 'not without retries',
+    name: 'does not retry if no retries are left',
     retries: 0,
     events: [START, failed(1, notRun)],
     expected: 'REFUSED not-run',
   },
   {
-    name: 'not when it would not help',
+    name: 'does not retry a failure that is not retryable',
     events: [START, failed(1, final)],
     expected: 'FINAL not-run',
   },
   {
-    name: 'a later refusal does not unsay an earlier loss',
+    name: 'keeps the verdict may-have-run of a lost attempt after a later refusal',
     repeatable: true,
-    events: [START, failed(1, lost), AGAIN, failed(2, final)],
+    events: [START, failed(1, lost), BACK_OFF_OVER, failed(2, final)],
     expected: 'FINAL may-have-run',
   },
   {
-    name: 'without another endpoint, the first failure is told',
-    events: [START, failed(1, notRun), AGAIN, { type: 'no-endpoint', attempt: 2, failure: final }],
+    name: 'reports the first failure if there is no other endpoint',
+    events: [
+      START,
+      failed(1, notRun),
+      BACK_OFF_OVER,
+      { type: 'no-endpoint', attempt: 2, failure: final },
+    ],
     expected: 'REFUSED not-run',
   },
   {
-    name: 'the deadline ends an attempt',
+    name: 'aborts the attempt at the deadline',
     events: [START, DEADLINE],
     expected: 'abort-attempt, LATE may-have-run',
   },
   {
-    name: 'the deadline during a back-off tells the failure',
+    name: 'reports the previous failure at a deadline during the back-off',
     events: [START, failed(1, notRun), DEADLINE],
     expected: 'REFUSED not-run',
   },
   {
-    name: 'an answer under way outlives the deadline',
+    name: 'does not abort an answer in transit at the deadline',
     events: [START, answered(1), DEADLINE],
     expected: '',
   },
   {
-    name: 'an answer of a past attempt is not passed on',
+    name: 'does not forward the answer of an earlier attempt',
     events: [START, failed(1, notRun), answered(1)],
     expected: '',
   },
   {
-    name: 'a failure of a past attempt does not count',
-    events: [START, failed(1, notRun), AGAIN, failed(1, lost)],
+    name: 'ignores the failure of an earlier attempt',
+    events: [START, failed(1, notRun), BACK_OFF_OVER, failed(1, lost)],
     expected: '',
   },
   {
-    name: 'a failure after the answer began does not count twice',
+    name: 'ignores a failure after the deadline has been reported',
     events: [START, DEADLINE, failed(1, lost)],
     expected: '',
   },
   {
-    name: 'a broken answer that went out breaks the connection',
+    name: 'closes the connection if an answer breaks after part of it was forwarded',
     repeatable: true,
-    events: [START, answered(1), broken(1, true)],
+    events: [START, answered(1), answerBroken(1, true)],
     expected: 'break-connection',
   },
   {
-    name: 'one that did not is tried again',
+    name: 'retries if an answer breaks before any of it was forwarded',
     repeatable: true,
-    events: [START, answered(1), broken(1, false)],
+    events: [START, answered(1), answerBroken(1, false)],
     expected: 'back-off',
   },
   {
-    name: 'but not when it may run once',
-    events: [START, answered(1), broken(1, false)],
+    name: 'does not retry a request that is not repeatable after a broken answer',
+    events: [START, answered(1), answerBroken(1, false)],
     expected: 'LOST may-have-run',
   },
   {
-    name: 'a caller that leaves ends the attempt',
+    name: 'aborts the attempt if the caller disconnects',
     events: [START, { type: 'caller-gone' }],
     expected: 'abort-attempt',
   },
   {
-    name: 'a request without its body is given up without a doubt',
+    name: 'gives the verdict not-run if a request is given up before its first attempt',
     events: [giveUp(true)],
     expected: 'FINAL not-run',
   },
   {
-    name: 'so is one that has not been sent',
+    name: 'gives the verdict not-run if a request is given up before it was sent',
     events: [START, giveUp(true)],
     expected: 'abort-attempt, FINAL not-run',
   },
   {
-    name: 'one that has been sent may have run',
+    name: 'gives the verdict may-have-run if a request is given up after it was sent',
     events: [START, giveUp(false)],
     expected: 'abort-attempt, LATE may-have-run',
   },
   {
-    name: 'an attempt that was not sent does not unsay an earlier loss',
+    name: 'keeps the verdict may-have-run of a lost attempt if a later, unsent attempt is given up',
     repeatable: true,
-    events: [START, failed(1, lost), AGAIN, giveUp(true)],
+    events: [START, failed(1, lost), BACK_OFF_OVER, giveUp(true)],
     expected: 'abort-attempt, FINAL may-have-run',
   },
   {
-    name: 'one that is given up during a back-off tells the failure',
+    name: 'reports the previous failure if a request is given up during the back-off',
     events: [START, failed(1, notRun), giveUp(true)],
     expected: 'REFUSED not-run',
   },
   {
-    name: 'an answer of which nothing went out is replaced',
+    name: 'replaces an answer by an error if it is given up before any of it was forwarded',
     events: [START, answered(1), giveUp(false)],
     expected: 'abort-attempt, LATE may-have-run',
   },
   {
-    name: 'an answer under way is not given up',
+    name: 'does not give up an answer after part of it was forwarded',
     events: [START, answered(1), giveUp(false, true)],
     expected: '',
   },
   {
-    name: 'an attempt in doubt gets another one beside it',
+    name: 'hedges a suspected attempt',
     repeatable: true,
     events: [START, suspected(1)],
     expected: 'back-off',
   },
   {
-    name: 'but not when it may run once',
+    name: 'does not hedge a request that is not repeatable',
     events: [START, suspected(1)],
     expected: '',
   },
   {
-    name: 'nor without retries',
+    name: 'does not hedge if no retries are left',
     repeatable: true,
     retries: 0,
     events: [START, suspected(1)],
     expected: '',
   },
   {
-    name: 'one that has provably not been sent is replaced',
+    name: 'replaces a suspected attempt that was provably not sent',
     events: [START, suspected(1, notRun)],
     expected: 'abort-attempt, back-off',
   },
   {
-    name: 'and goes on where nothing can replace it',
+    name: 'continues a suspected, unsent attempt if no retries are left to replace it',
     retries: 0,
     events: [START, suspected(1, notRun)],
     expected: '',
   },
   {
-    name: 'the answer of an attempt in doubt is passed on',
+    name: 'forwards the answer of a suspected attempt',
     repeatable: true,
-    events: [START, suspected(1), AGAIN, answered(1)],
+    events: [START, suspected(1), BACK_OFF_OVER, answered(1)],
     expected: 'pass-answer',
   },
   {
-    name: 'and the one beside it given up once that is whole',
+    name: 'aborts the hedged attempt once the answer of the suspected attempt is complete',
     repeatable: true,
-    events: [START, suspected(1), AGAIN, answered(1), whole(1)],
+    events: [START, suspected(1), BACK_OFF_OVER, answered(1), answerComplete(1)],
     expected: 'abort-attempt',
   },
   {
-    name: 'also during the pause before another one, which does not begin then',
+    name: 'does not start the hedged attempt if the suspected attempt is answered during the back-off',
     repeatable: true,
-    events: [START, suspected(1), answered(1), AGAIN],
+    events: [START, suspected(1), answered(1), BACK_OFF_OVER],
     expected: '',
   },
   {
-    name: 'a second answer is not passed on',
+    name: 'aborts the suspected attempt instead of forwarding a second answer',
     repeatable: true,
-    events: [START, suspected(1), AGAIN, answered(2), answered(1)],
+    events: [START, suspected(1), BACK_OFF_OVER, answered(2), answered(1)],
     expected: 'abort-attempt',
   },
   {
-    name: 'an attempt in doubt is waited for when the one beside it fails for good',
+    name: 'waits for the suspected attempt if the hedged attempt fails without a retry',
     repeatable: true,
-    events: [START, suspected(1), AGAIN, failed(2, final)],
+    events: [START, suspected(1), BACK_OFF_OVER, failed(2, final)],
     expected: '',
   },
   {
-    name: 'or finds no endpoint',
+    name: 'forwards the answer of the suspected attempt if there is no endpoint for the hedged attempt',
     repeatable: true,
     events: [
       START,
       suspected(1),
-      AGAIN,
+      BACK_OFF_OVER,
       { type: 'no-endpoint', attempt: 2, failure: final },
       answered(1),
     ],
     expected: 'pass-answer',
   },
   {
-    name: 'its loss is told once nothing else is left',
+    name: 'reports the loss of the suspected attempt if the hedged attempt has failed',
     repeatable: true,
     retries: 1,
-    events: [START, suspected(1), AGAIN, failed(2, final), failed(1, lost)],
+    events: [START, suspected(1), BACK_OFF_OVER, failed(2, final), failed(1, lost)],
     expected: 'LOST may-have-run',
   },
   {
-    name: 'its loss ends nothing while another attempt is under way',
+    name: 'waits for the hedged attempt if the suspected attempt is lost',
     repeatable: true,
-    events: [START, suspected(1), AGAIN, failed(1, lost)],
+    events: [START, suspected(1), BACK_OFF_OVER, failed(1, lost)],
     expected: '',
   },
   {
-    name: 'the deadline ends both',
+    name: 'aborts the suspected and the hedged attempt at the deadline',
     repeatable: true,
-    events: [START, suspected(1), AGAIN, DEADLINE],
+    events: [START, suspected(1), BACK_OFF_OVER, DEADLINE],
     expected: 'abort-attempt, abort-attempt, LATE may-have-run',
   },
   {
-    name: 'and tells of no refusal while one is in doubt',
+    name: 'reports the deadline with may-have-run instead of a refusal while an attempt is suspected',
     repeatable: true,
     events: [START, suspected(1), DEADLINE],
     expected: 'abort-attempt, LATE may-have-run',
   },
   {
-    name: 'a stop ends both, and the one in doubt may have run',
+    name: 'aborts both attempts at a stop, and reports may-have-run because of the suspected one',
     repeatable: true,
-    events: [START, suspected(1), AGAIN, giveUp(true)],
+    events: [START, suspected(1), BACK_OFF_OVER, giveUp(true)],
     expected: 'abort-attempt, abort-attempt, FINAL may-have-run',
   },
   {
-    name: 'a caller that leaves ends both',
+    name: 'aborts the suspected and the hedged attempt if the caller disconnects',
     repeatable: true,
-    events: [START, suspected(1), AGAIN, { type: 'caller-gone' }],
+    events: [START, suspected(1), BACK_OFF_OVER, { type: 'caller-gone' }],
     expected: 'abort-attempt, abort-attempt',
   },
   {
-    name: 'nothing begins after the caller left',
+    name: 'does not start an attempt after the caller has disconnected',
     events: [{ type: 'caller-gone' }, START],
     expected: '',
   },
 ];
 
-describe('life of a request', () => {
+describe('request lifecycle', () => {
   for (const { name, repeatable = false, retries = 2, events, expected } of rows) {
     it(name, () => {
       const policy = policyOf({ repeatable, retries });
@@ -309,16 +314,16 @@
     });
   }
 
-  it('ends with one answer in every order of events, and always when it is given up', () => {
-    const firstWhole = whole(1);
+  it('reports at most once in every sequence of events, and always ends when it is given up', () => {
+    const firstComplete = answerComplete(1);
     const noEndpoint: RequestEvent = { type: 'no-endpoint', attempt: 2, failure: final };
-    const gone: RequestEvent = { type: 'caller-gone' };
-    const firstTry = [START, answered(1), firstWhole, broken(1, false), failed(1, lost)];
-    const secondTry = [AGAIN, failed(2, notRun), answered(2), noEndpoint];
-    const ends = [DEADLINE, gone, giveUp(true), giveUp(false)];
+    const callerGone: RequestEvent = { type: 'caller-gone' };
+    const firstTry = [START, answered(1), firstComplete, answerBroken(1, false), failed(1, lost)];
+    const secondTry = [BACK_OFF_OVER, failed(2, notRun), answered(2), noEndpoint];
+    const ends = [DEADLINE, callerGone, giveUp(true), giveUp(false)];
     const events = [...firstTry, ...secondTry, ...ends];
     const policy = policyOf({ retries: 1 });
-    for (const order of ordersOf(events, 4)) {
+    for (const order of sequencesOf(events, 4)) {
       const lifecycle = new RequestLifecycle(policy, new RetryBudget(), () => 0.5);
       let ended = 0;
       for (const event of order) {
@@ -329,7 +334,7 @@
         expect(event.type !== 'give-up' || lifecycle.isOver, describeOrder(order)).to.equal(true);
       }
       expect(ended, describeOrder(order)).to.be.at.most(1);
-      const isSettled = order.some((event) => event === firstWhole || event === gone);
+      const isSettled = order.some((event) => event === firstComplete || event === callerGone);
       const isGivenUp = order.some(({ type }) => type === 'give-up');
       expect(isSettled || !isGivenUp || ended === 1, describeOrder(order)).to.equal(true);
     }
@@ -342,7 +347,7 @@
     expect(lifecycle.handle(failed(1, notRun), 6)).to.have.nested.property('[0].type', 'report');
   });
 
-  it('lets a proof that the request has not run stand where another refusal would come too late', () => {
+  it('reports not-run without a redirect if a further refusal would be too late', () => {
     const policy = policyOf({ repeatable: false, refusableUntilMs: 900, redirects: 1 });
     const outcomeAt = (nowMs: number): string[] => {
       const lifecycle = new RequestLifecycle(policy, new RetryBudget(), () => 0.5);
@@ -354,7 +359,7 @@
     expect(outcomeAt(901)).to.deep.equal(['REFUSED not-run']);
   });
 
-  it('counts the back-off in the time that a refusal needs to be told', () => {
+  it('includes the back-off in the time limit for reporting a refusal', () => {
     const policy = policyOf({ refusableUntilMs: 900 });
     const outcomeAt = (nowMs: number): string[] => {
       const lifecycle = new RequestLifecycle(policy, new RetryBudget(), () => 0.5);
@@ -365,7 +370,7 @@
     expect(outcomeAt(896)).to.deep.equal(['REFUSED not-run']);
   });
 
-  it('goes on from absent endpoints without the allowance for full ones, and back to that after', () => {
+  it('counts redirects from absent endpoints separately from those from overloaded ones, in either order', () => {
     const policy = policyOf({ retries: 0, redirects: 1, absentRedirects: 2 });
     const lifecycle = new RequestLifecycle(policy, new RetryBudget(), () => 0.5);
     lifecycle.handle(START, 0);
@@ -381,13 +386,13 @@
     ]);
   });
 
-  it('sends nothing on that is withheld, and tells what is known of its earlier attempts', () => {
+  it('does not forward a withheld request, and reports the verdict of its earlier attempts', () => {
     const contained = { ...notRun, code: 'CONTAINED' };
     const outcomeAfter = (failure: RequestFailure): string[] => {
       const lifecycle = new RequestLifecycle(policyOf(), new RetryBudget(), () => 0.5);
       lifecycle.handle(START, 0);
       lifecycle.handle(failed(1, failure), 0);
-      lifecycle.handle(AGAIN, 1);
+      lifecycle.handle(BACK_OFF_OVER, 1);
       return lifecycle
         .handle({ type: 'withheld', attempt: 2, failure: contained }, 1)
         .map(describeEffect);
@@ -396,14 +401,14 @@
     expect(outcomeAfter(lost)).to.deep.equal([`${lost.code} may-have-run`]);
   });
 
-  it('tries again until the deadline what may have run anyway', () => {
+  it('retries a request that may have run even after the time limit for refusals', () => {
     const policy = policyOf({ refusableUntilMs: 900, redirects: 1 });
     const lifecycle = new RequestLifecycle(policy, new RetryBudget(), () => 0.5);
     lifecycle.handle(START, 0);
     expect(lifecycle.handle(failed(1, lost), 950).map(describeEffect)).to.deep.equal(['back-off']);
   });
 
-  it('makes at most a share of the first attempts again', () => {
+  it('limits retries to a percentage of the first attempts', () => {
     const budget = new RetryBudget();
     let retries = 0;
     for (let request = 0; request < 1_000; request += 1) {
@@ -416,19 +421,19 @@
         attempt += 1
       ) {
         retries += 1;
-        lifecycle.handle(AGAIN, 0);
+        lifecycle.handle(BACK_OFF_OVER, 0);
       }
     }
     expect(retries).to.be.within(190, 205);
   });
 
-  it('makes no more attempts through calls eight deep than its first request allows', () => {
+  it('limits the attempts of a chain of eight nested calls to those of its first request', () => {
     expect(attemptsOfChain(8, 2)).to.equal(3);
     expect(attemptsOfChain(8, 5)).to.equal(6);
   });
 });
 
-/** A policy of two retries without a bound by their budget, but for `changes`. */
+/** Returns a policy with two retries that the retry budget does not limit, with `changes` applied. */
 function policyOf(changes: Partial<RequestPolicy> = {}): RequestPolicy {
   return {
     repeatable: true,
@@ -440,7 +445,7 @@
   };
 }
 
-/** Attempts at the deepest endpoint of a chain in which every attempt fails. */
+/** Counts the attempts at the last endpoint of a call chain in which every attempt fails. */
 function attemptsOfChain(depth: number, retries: number): number {
   if (depth === 0) {
     return 1;
@@ -452,20 +457,20 @@
   while (effect?.type === 'begin-attempt') {
     attempts += attemptsOfChain(depth - 1, effect.retriesLeft);
     const [next] = lifecycle.handle(failed(effect.attempt, lost), 0);
-    effect = next?.type === 'back-off' ? lifecycle.handle(AGAIN, 0)[0] : next;
+    effect = next?.type === 'back-off' ? lifecycle.handle(BACK_OFF_OVER, 0)[0] : next;
   }
   return attempts;
 }
 
-/** Every sequence of `length` of the events, with repetitions. */
-function* ordersOf(events: readonly RequestEvent[], length: number): Generator<RequestEvent[]> {
+/** Yields every sequence of `length` events, with repetition. */
+function* sequencesOf(events: readonly RequestEvent[], length: number): Generator<RequestEvent[]> {
   if (length === 0) {
     yield [];
     return;
   }
-  for (const rest of ordersOf(events, length - 1)) {
+  for (const tail of sequencesOf(events, length - 1)) {
     for (const event of events) {
-      yield [event, ...rest];
+      yield [event, ...tail];
     }
   }
 }
