--- a/test/proxy/request-lifecycle-model.test.ts
+++ b/test/proxy/request-lifecycle-model.test.ts
@@ -1,8 +1,8 @@
 /**
- * One caller's request against all that may happen to up to three attempts, in any order: which of them has
- * reached its endpoint is kept beside the decisions and compared with them. Attempts that were in doubt have
- * been ended before although nothing replaced them, and their callers were told an error while endpoints
- * were at work.
+ * Model-based test of one request with up to three attempts and every order of events. The model tracks which
+ * attempts have reached their endpoints and compares this with the decisions of the lifecycle. Guards against
+ * suspected attempts that are aborted although nothing replaces them, so that the caller receives an error while
+ * an endpoint is still processing the request.
  */
 import { inspect } from 'node:util';
 import { expect } from 'chai';
@@ -19,75 +19,84 @@
 const absent: RequestFailure = { code: 'UNREACHABLE', verdict: 'not-run', retryable: true };
 const final: RequestFailure = { code: 'FINAL', verdict: 'not-run', retryable: false };
 const lost: RequestFailure = { code: 'LOST', verdict: 'may-have-run', retryable: true };
-const spoiled: RequestFailure = { code: 'SPOILED', verdict: 'may-have-run', retryable: true };
-const fault: RequestFailure = { code: 'FAULT', verdict: 'may-have-run', retryable: true };
-const none: RequestFailure = { code: 'NO_ENDPOINT', verdict: 'not-run', retryable: false };
+const brokenAnswer: RequestFailure = { code: 'SPOILED', verdict: 'may-have-run', retryable: true };
+const errorAnswer: RequestFailure = { code: 'FAULT', verdict: 'may-have-run', retryable: true };
+const noEndpoint: RequestFailure = { code: 'NO_ENDPOINT', verdict: 'not-run', retryable: false };
 const withheld: RequestFailure = { code: 'CONTAINED', verdict: 'not-run', retryable: false };
 const late: RequestFailure = { code: 'LATE', verdict: 'may-have-run', retryable: false };
 const unsentLate: RequestFailure = { code: 'LATE', verdict: 'not-run', retryable: false };
 
-/** Signs of silence that one attempt may give. */
-const MAX_SIGNS = 2;
-/** Longer than any script: all situations are played out. */
-const LONGEST_SCRIPT = 40;
-/** Situations that each case has at least, so that none is empty. */
-const LEAST_SITUATIONS = 40;
+/** Maximum number of suspicions per attempt. */
+const MAX_SUSPICIONS = 2;
+/** Exceeds the length of every script, so that all states are explored. */
+const MAX_SCRIPT_STEPS = 40;
+/** Minimum number of states per case, which shows that no case is empty. */
+const MIN_STATES = 40;
 
 /**
- * - `unsent`: it has provably not reached its endpoint.
- * - `sent`: its endpoint may be at work.
- * - `passing`: its answer is passed on.
- * - `not-run`, `ran`: it is over, and the endpoint has not run it, or may have.
+ * - `unsent`: the attempt has provably not reached its endpoint.
+ * - `sent`: the endpoint may be processing the attempt.
+ * - `passing`: the answer to the attempt is being forwarded to the caller.
+ * - `not-run`: the attempt has ended, and the endpoint has not run it.
+ * - `ran`: the attempt has ended, and the endpoint may have run it.
  */
 type AttemptState = 'unsent' | 'sent' | 'passing' | 'not-run' | 'ran';
 
-/** A step of the world: an event that the request gets, or an attempt that leaves its node. */
+/** A step of the model: an event for the lifecycle, or an attempt that is sent by its node. */
 type Step = RequestEvent | { readonly type: 'sent'; readonly attempt: number };
 
-/** How often the body can be sent: by each attempt, or by one alone. */
+/** Whether every attempt can send the body, or only one. */
 type Replay = 'always' | 'until-sent';
 
-/** What the world knows of the request. */
-interface World {
+/** State of the request in the model. */
+interface ModelState {
   readonly policy: RequestPolicy;
   readonly replay: Replay;
   readonly attempts: AttemptState[];
-  readonly signs: number[];
-  /** The attempt whose endpoint is still to be chosen. */
-  choosing: number | undefined;
+  readonly suspicionCounts: number[];
+  /** The attempt for which no endpoint has been selected yet. */
+  pendingAttempt: number | undefined;
   isBackingOff: boolean;
-  /** What the caller got in the end. */
+  /** Final outcome for the caller. */
   outcome: string | undefined;
-  passedCount: number;
+  forwardedCount: number;
 }
 
 interface Case {
   readonly name: string;
   readonly policy: Partial<RequestPolicy>;
   readonly replay: Replay;
-  /** Retries that the budget has. */
+  /** Number of retries in the budget. */
   readonly budget?: number;
 }
 
 const CASES: readonly Case[] = [
-  { name: 'may be repeated', policy: {}, replay: 'always' },
-  { name: 'may run only once', policy: { repeatable: false }, replay: 'always' },
-  { name: 'has a body for one attempt', policy: { redirects: 1 }, replay: 'until-sent' },
+  { name: 'is repeatable', policy: {}, replay: 'always' },
+  { name: 'is not repeatable', policy: { repeatable: false }, replay: 'always' },
+  {
+    name: 'has a body that only one attempt can send',
+    policy: { redirects: 1 },
+    replay: 'until-sent',
+  },
   { name: 'has no retries', policy: { retries: 0 }, replay: 'always' },
-  { name: 'has no budget', policy: { retryBudgetPercent: 0 }, replay: 'always', budget: 0 },
+  { name: 'has no retry budget', policy: { retryBudgetPercent: 0 }, replay: 'always', budget: 0 },
   {
-    name: 'has budget for one retry',
+    name: 'has a budget for one retry',
     policy: { retryBudgetPercent: 0 },
     replay: 'always',
     budget: 1,
   },
   { name: 'is redirected', policy: { retries: 1, redirects: 1 }, replay: 'always' },
   {
-    name: 'may run only once and is redirected',
+    name: 'is not repeatable and is redirected',
     policy: { repeatable: false, retries: 1, redirects: 1, absentRedirects: 1 },
     replay: 'always',
   },
-  { name: 'is not refused in time any more', policy: { refusableUntilMs: -1 }, replay: 'always' },
+  {
+    name: 'is past the time limit for refusals',
+    policy: { refusableUntilMs: -1 },
+    replay: 'always',
+  },
 ];
 
 function policyOf(changes: Partial<RequestPolicy>): RequestPolicy {
@@ -101,56 +110,56 @@
   };
 }
 
-function newWorld({ policy, replay }: Case): World {
+function initialState({ policy, replay }: Case): ModelState {
   return {
     policy: policyOf(policy),
     replay,
     attempts: [],
-    signs: [],
-    choosing: undefined,
+    suspicionCounts: [],
+    pendingAttempt: undefined,
     isBackingOff: false,
     outcome: undefined,
-    passedCount: 0,
+    forwardedCount: 0,
   };
 }
 
-const isUnderWay = (state: AttemptState | undefined): boolean =>
+const isAwaitingAnswer = (state: AttemptState | undefined): boolean =>
   state === 'unsent' || state === 'sent';
 const isOpen = (state: AttemptState | undefined): boolean =>
-  isUnderWay(state) || state === 'passing';
+  isAwaitingAnswer(state) || state === 'passing';
 
-/** Whether another attempt can send the body; attempts that are over have not sent it where they are unsent. */
-function canReplayIn({ replay, attempts }: World): boolean {
+/** Whether another attempt can send the body: attempts that ended while unsent have not sent it. */
+function canReplayBody({ replay, attempts }: ModelState): boolean {
   return (
     replay === 'always' || attempts.every((state) => state === 'unsent' || state === 'not-run')
   );
 }
 
-/** All that may happen next. */
-function stepsOf(world: World): Step[] {
-  if (world.outcome !== undefined) {
+/** Returns every step that is possible in the current state. */
+function possibleSteps(model: ModelState): Step[] {
+  if (model.outcome !== undefined) {
     return [];
   }
-  const { choosing: attempt } = world;
-  const ofRequest: Step[] = [{ type: 'caller-gone' }, ...endsOf(world)];
+  const { pendingAttempt: attempt } = model;
+  const requestSteps: Step[] = [{ type: 'caller-gone' }, ...terminationSteps(model)];
   if (attempt !== undefined) {
     return [
       { type: 'sent', attempt },
-      { type: 'no-endpoint', attempt, failure: none },
+      { type: 'no-endpoint', attempt, failure: noEndpoint },
       { type: 'withheld', attempt, failure: withheld },
-      { type: 'failed', attempt, failure: refused, canReplay: canReplayIn(world) },
+      { type: 'failed', attempt, failure: refused, canReplay: canReplayBody(model) },
     ];
   }
-  const again: Step[] = world.isBackingOff ? [{ type: 'back-off-over' }] : [];
+  const backOffSteps: Step[] = model.isBackingOff ? [{ type: 'back-off-over' }] : [];
   return [
-    ...again,
-    ...world.attempts.flatMap((state, index) => stepsOfAttempt(world, state, index + 1)),
-    ...ofRequest,
+    ...backOffSteps,
+    ...model.attempts.flatMap((state, index) => attemptSteps(model, state, index + 1)),
+    ...requestSteps,
   ];
 }
 
-function endsOf(world: World): Step[] {
-  const open = world.attempts.filter(isOpen);
+function terminationSteps(model: ModelState): Step[] {
+  const open = model.attempts.filter(isOpen);
   const isUnsent = open.every((state) => state === 'unsent');
   const failure = open.length > 0 && isUnsent ? unsentLate : late;
   const stopped = isUnsent ? unsentLate : late;
@@ -160,17 +169,17 @@
   ];
 }
 
-function stepsOfAttempt(world: World, state: AttemptState, attempt: number): Step[] {
-  const { signs } = world;
-  const canReplay = canReplayIn(world);
+function attemptSteps(model: ModelState, state: AttemptState, attempt: number): Step[] {
+  const { suspicionCounts: suspicions } = model;
+  const canReplay = canReplayBody(model);
   const failed = (failure: RequestFailure): Step => ({
     type: 'failed',
     attempt,
     failure,
     canReplay,
   });
-  const sign: Step[] =
-    (signs[attempt - 1] ?? 0) < MAX_SIGNS
+  const suspicionSteps: Step[] =
+    (suspicions[attempt - 1] ?? 0) < MAX_SUSPICIONS
       ? [
           {
             type: 'suspected',
@@ -182,13 +191,25 @@
       : [];
   switch (state) {
     case 'unsent':
-      return [{ type: 'sent', attempt }, failed(refused), failed(final), failed(absent), ...sign];
+      return [
+        { type: 'sent', attempt },
+        failed(refused),
+        failed(final),
+        failed(absent),
+        ...suspicionSteps,
+      ];
     case 'sent': {
-      const faults: Step[] = canReplay ? [{ type: 'answered', attempt, fault }] : [];
-      return [{ type: 'answered', attempt }, ...faults, failed(refused), failed(lost), ...sign];
+      const faults: Step[] = canReplay ? [{ type: 'answered', attempt, fault: errorAnswer }] : [];
+      return [
+        { type: 'answered', attempt },
+        ...faults,
+        failed(refused),
+        failed(lost),
+        ...suspicionSteps,
+      ];
     }
     case 'passing': {
-      const broken = { type: 'answer-broken', attempt, failure: spoiled, canReplay } as const;
+      const broken = { type: 'answer-broken', attempt, failure: brokenAnswer, canReplay } as const;
       return [
         { type: 'answer-whole', attempt },
         { ...broken, wasPassedOn: true },
@@ -200,98 +221,102 @@
   }
 }
 
-/** One request in its world. */
-class Play {
-  readonly world: World;
+/** A run of one request against the model. */
+class ModelRun {
+  readonly model: ModelState;
   private readonly lifecycle: RequestLifecycle;
 
-  constructor(played: Case) {
-    this.world = newWorld(played);
+  constructor(testCase: Case) {
+    this.model = initialState(testCase);
     this.lifecycle = new RequestLifecycle(
-      this.world.policy,
-      new RetryBudget(played.budget),
+      this.model.policy,
+      new RetryBudget(testCase.budget),
       () => 0,
     );
-    this.take({ type: 'start' });
+    this.apply({ type: 'start' });
   }
 
-  /** All that decides what may follow. */
+  /** Identifies the complete state, on which all further behaviour depends. */
   get key(): string {
-    return inspect([this.world, this.lifecycle], { depth: 5, breakLength: Infinity });
+    return inspect([this.model, this.lifecycle], { depth: 5, breakLength: Infinity });
   }
 
-  take(step: Step): void {
-    const { world } = this;
-    const before = [...world.attempts];
+  apply(step: Step): void {
+    const { model } = this;
+    const before = [...model.attempts];
     const wasPassing = before.includes('passing');
-    this.happens(step);
+    this.updateState(step);
     if (step.type === 'sent') {
       return;
     }
     const effects = this.lifecycle.handle(step, 0);
     effects.forEach((effect) => this.execute(effect, step));
     if (step.type === 'caller-gone') {
-      this.end('gone');
+      this.finish('gone');
     }
     if (step.type === 'answer-whole') {
-      this.end('answered');
+      this.finish('answered');
     }
     this.check(step, effects, wasPassing);
   }
 
-  private happens(step: Step): void {
-    const { world } = this;
-    if ('attempt' in step && world.choosing === step.attempt) {
-      world.choosing = undefined;
-      world.attempts[step.attempt - 1] = step.type === 'sent' ? 'unsent' : 'not-run';
+  private updateState(step: Step): void {
+    const { model } = this;
+    if ('attempt' in step && model.pendingAttempt === step.attempt) {
+      model.pendingAttempt = undefined;
+      model.attempts[step.attempt - 1] = step.type === 'sent' ? 'unsent' : 'not-run';
       return;
     }
     switch (step.type) {
       case 'back-off-over':
-        world.isBackingOff = false;
+        model.isBackingOff = false;
         return;
       case 'sent':
-        return this.set(step.attempt, 'sent');
+        return this.setAttempt(step.attempt, 'sent');
       case 'suspected':
-        world.signs[step.attempt - 1] = (world.signs[step.attempt - 1] ?? 0) + 1;
+        model.suspicionCounts[step.attempt - 1] =
+          (model.suspicionCounts[step.attempt - 1] ?? 0) + 1;
         return;
       case 'failed':
-        return this.set(step.attempt, step.failure.verdict === 'not-run' ? 'not-run' : 'ran');
+        return this.setAttempt(
+          step.attempt,
+          step.failure.verdict === 'not-run' ? 'not-run' : 'ran',
+        );
       case 'answer-whole':
       case 'answer-broken':
-        return this.set(step.attempt, 'ran');
+        return this.setAttempt(step.attempt, 'ran');
       default:
         return;
     }
   }
 
-  private set(attempt: number, state: AttemptState): void {
-    this.world.attempts[attempt - 1] = state;
+  private setAttempt(attempt: number, state: AttemptState): void {
+    this.model.attempts[attempt - 1] = state;
   }
 
-  private end(outcome: string): void {
-    expect(this.world.outcome, 'ended before').to.equal(undefined);
-    this.world.outcome = outcome;
+  private finish(outcome: string): void {
+    expect(this.model.outcome, 'reports a second outcome').to.equal(undefined);
+    this.model.outcome = outcome;
   }
 
   private execute(effect: RequestEffect, step: Step): void {
-    const { world } = this;
+    const { model } = this;
     switch (effect.type) {
       case 'begin-attempt':
-        expect(effect.attempt, 'number of the attempt').to.equal(world.attempts.length + 1);
-        expect(world.choosing).to.equal(undefined);
-        world.choosing = effect.attempt;
-        world.attempts.push('unsent');
-        return this.checkBegin();
+        expect(effect.attempt, 'attempt number').to.equal(model.attempts.length + 1);
+        expect(model.pendingAttempt).to.equal(undefined);
+        model.pendingAttempt = effect.attempt;
+        model.attempts.push('unsent');
+        return this.checkAttemptStart();
       case 'back-off':
-        expect(world.isBackingOff, 'two pauses at once').to.equal(false);
-        world.isBackingOff = true;
+        expect(model.isBackingOff, 'backs off twice at the same time').to.equal(false);
+        model.isBackingOff = true;
         return;
       case 'abort-attempt': {
-        const state = world.attempts[effect.attempt - 1];
-        expect(isOpen(state), `aborts ${effect.attempt}, which is over`).to.equal(true);
+        const state = model.attempts[effect.attempt - 1];
+        expect(isOpen(state), `aborts ${effect.attempt}, which has ended`).to.equal(true);
         const isReplacement = step.type === 'suspected' && state === 'unsent';
-        const isEnd = [
+        const abortingSteps = [
           'answered',
           'answer-whole',
           'answer-broken',
@@ -299,69 +324,77 @@
           'give-up',
           'caller-gone',
         ];
-        expect(isReplacement || isEnd.includes(step.type), `aborts on ${step.type}`).to.equal(true);
-        return this.set(effect.attempt, state === 'unsent' ? 'not-run' : 'ran');
+        expect(
+          isReplacement || abortingSteps.includes(step.type),
+          `aborts on ${step.type}`,
+        ).to.equal(true);
+        return this.setAttempt(effect.attempt, state === 'unsent' ? 'not-run' : 'ran');
       }
       case 'pass-answer':
-        expect(world.attempts.includes('passing'), 'passes two answers').to.equal(false);
+        expect(model.attempts.includes('passing'), 'forwards two answers').to.equal(false);
         expect(step).to.include({ type: 'answered', attempt: effect.attempt });
-        world.passedCount += 1;
-        return this.set(effect.attempt, 'passing');
+        model.forwardedCount += 1;
+        return this.setAttempt(effect.attempt, 'passing');
       case 'discard-answer':
         expect(step).to.include({ type: 'answered', attempt: effect.attempt });
-        return this.set(effect.attempt, 'ran');
+        return this.setAttempt(effect.attempt, 'ran');
       case 'report':
         this.checkVerdict(effect);
-        return this.end(effect.failure.code);
+        return this.finish(effect.failure.code);
       case 'break-connection':
-        return this.end('broken');
+        return this.finish('broken');
     }
   }
 
-  private checkBegin(): void {
-    const { policy, attempts } = this.world;
+  private checkAttemptStart(): void {
+    const { policy, attempts } = this.model;
     const others = attempts.slice(0, -1);
     const mayHaveRun = others.filter((state) => state !== 'not-run' && state !== 'unsent');
     if (!policy.repeatable) {
       expect(
         others.filter((state) => state !== 'not-run'),
-        'runs twice',
+        'may run more than once',
       ).to.deep.equal([]);
     }
-    expect(mayHaveRun.length, 'runs too often').to.be.at.most(policy.retries);
+    expect(mayHaveRun.length, 'may run more often than the retries allow').to.be.at.most(
+      policy.retries,
+    );
   }
 
   private checkVerdict({ verdict }: Extract<RequestEffect, { type: 'report' }>): void {
-    const mayHaveRun = this.world.attempts.some(
+    const mayHaveRun = this.model.attempts.some(
       (state) => state !== 'not-run' && state !== 'unsent',
     );
-    expect(verdict === 'not-run' && mayHaveRun, 'promises that nothing ran').to.equal(false);
+    expect(
+      verdict === 'not-run' && mayHaveRun,
+      'reports not-run although an attempt may have run',
+    ).to.equal(false);
   }
 
   private check(step: RequestEvent, effects: readonly RequestEffect[], wasPassing: boolean): void {
-    const { attempts, outcome, isBackingOff, choosing } = this.world;
+    const { attempts, outcome, isBackingOff, pendingAttempt } = this.model;
     const open = attempts.filter(isOpen);
     expect(this.lifecycle.isOver).to.equal(outcome !== undefined);
     if (outcome !== undefined) {
-      expect(open, 'left under way').to.deep.equal([]);
+      expect(open, 'attempts still open after the end').to.deep.equal([]);
       return;
     }
-    const goesOn = open.length > 0 || isBackingOff || choosing !== undefined;
-    expect(goesOn, 'nothing is left to wait for').to.equal(true);
-    const isGood = step.type === 'answered' && step.fault === undefined;
-    if (isGood && !wasPassing) {
+    const isInProgress = open.length > 0 || isBackingOff || pendingAttempt !== undefined;
+    expect(isInProgress, 'the request is open, but nothing is in progress').to.equal(true);
+    const isSuccess = step.type === 'answered' && step.fault === undefined;
+    if (isSuccess && !wasPassing) {
       expect(
         effects.map(({ type }) => type),
-        'a good answer',
+        'forwards a successful answer',
       ).to.include('pass-answer');
     }
   }
 }
 
-function playOf(played: Case, steps: readonly Step[]): Play {
-  const play = new Play(played);
-  steps.forEach((step) => play.take(step));
-  return play;
+function runScript(testCase: Case, steps: readonly Step[]): ModelRun {
+  const run = new ModelRun(testCase);
+  steps.forEach((step) => run.apply(step));
+  return run;
 }
 
 function describeStep(step: Step): string {
@@ -370,25 +403,25 @@
   return 'attempt' in step ? `${step.type} ${step.attempt}${failure}${extra}` : step.type;
 }
 
-/** Plays every order of steps up to a depth, each situation once; gives the number of situations. */
-function playAll(played: Case): number {
+/** Explores every order of steps up to the maximum depth, each state once, and returns the number of states. */
+function exploreStates(testCase: Case): number {
   const seen = new Set<string>();
   let scripts: Step[][] = [[]];
-  for (let depth = 0; depth < LONGEST_SCRIPT && scripts.length > 0; depth += 1) {
+  for (let depth = 0; depth < MAX_SCRIPT_STEPS && scripts.length > 0; depth += 1) {
     const next: Step[][] = [];
     for (const script of scripts) {
-      for (const step of stepsOf(playOf(played, script).world)) {
-        const longer = [...script, step];
+      for (const step of possibleSteps(runScript(testCase, script).model)) {
+        const extended = [...script, step];
         let key: string;
         try {
-          key = playOf(played, longer).key;
+          key = runScript(testCase, extended).key;
         } catch (err) {
           const reason = err instanceof Error ? err.message : String(err);
-          throw new Error(`${reason} in: ${longer.map(describeStep).join(', ')}`, { cause: err });
+          throw new Error(`${reason} in: ${extended.map(describeStep).join(', ')}`, { cause: err });
         }
         if (!seen.has(key)) {
           seen.add(key);
-          next.push(longer);
+          next.push(extended);
         }
       }
     }
@@ -397,37 +430,37 @@
   return seen.size;
 }
 
-describe('life of a request in a model', () => {
-  for (const played of CASES) {
-    it(`keeps its promises to one that ${played.name}`, function () {
+describe('model of the request lifecycle', () => {
+  for (const testCase of CASES) {
+    it(`preserves the invariants if the request ${testCase.name}`, function () {
       this.timeout(120_000);
-      expect(playAll(played)).to.be.at.least(LEAST_SITUATIONS);
+      expect(exploreStates(testCase)).to.be.at.least(MIN_STATES);
     });
   }
 
-  /** What the caller is told once nobody else is left, after a suspect's connection was lost. */
-  function toldAfterLossOfSuspect(last: RequestEvent): string[] {
+  /** Returns the effects of the last event after the loss of a suspected attempt, with failure codes for reports. */
+  function reportedAfterLossOfSuspect(lastEvent: RequestEvent): string[] {
     const lifecycle = new RequestLifecycle(policyOf({}), new RetryBudget(), () => 0);
     const suspected = { type: 'suspected', attempt: 1, failure: lost, canReplay: true } as const;
     const failed = { type: 'failed', attempt: 1, failure: lost, canReplay: true } as const;
     const events: RequestEvent[] = [{ type: 'start' }, suspected, failed];
     [...events, { type: 'back-off-over' } as const].forEach((event) => lifecycle.handle(event, 0));
     return lifecycle
-      .handle(last, 0)
+      .handle(lastEvent, 0)
       .map((effect) => (effect.type === 'report' ? effect.failure.code : effect.type));
   }
 
-  it('tells what is known of a suspect that was lost, where no endpoint is left', () => {
-    const last = { type: 'no-endpoint', attempt: 2, failure: none } as const;
-    expect(toldAfterLossOfSuspect(last)).to.deep.equal([lost.code]);
+  it('reports the loss of a suspected attempt if no endpoint is left', () => {
+    const lastEvent = { type: 'no-endpoint', attempt: 2, failure: noEndpoint } as const;
+    expect(reportedAfterLossOfSuspect(lastEvent)).to.deep.equal([lost.code]);
   });
 
-  it('tells what is known of a suspect that was lost, where the request is withheld', () => {
-    const last = { type: 'withheld', attempt: 2, failure: withheld } as const;
-    expect(toldAfterLossOfSuspect(last)).to.deep.equal([lost.code]);
+  it('reports the loss of a suspected attempt if the request is withheld', () => {
+    const lastEvent = { type: 'withheld', attempt: 2, failure: withheld } as const;
+    expect(reportedAfterLossOfSuspect(lastEvent)).to.deep.equal([lost.code]);
   });
 
-  it('tells that nothing ran at the deadline, after an attempt that was unsent was replaced', () => {
+  it('reports not-run at the deadline after an unsent attempt was replaced', () => {
     const lifecycle = new RequestLifecycle(policyOf({}), new RetryBudget(), () => 0);
     const suspected = { type: 'suspected', attempt: 1, failure: absent, canReplay: true } as const;
     lifecycle.handle({ type: 'start' }, 0);
@@ -436,7 +469,7 @@
     expect(effects).to.have.nested.property('[0].verdict', 'not-run');
   });
 
-  it('ends a second answer that nobody waits for instead of reading it', () => {
+  it('aborts the attempt of an unneeded second answer instead of reading it', () => {
     const lifecycle = new RequestLifecycle(policyOf({}), new RetryBudget(), () => 0);
     const suspected = { type: 'suspected', attempt: 1, failure: lost, canReplay: true } as const;
     const events: RequestEvent[] = [
