--- a/test/proxy/request-fuzz.test.ts
+++ b/test/proxy/request-fuzz.test.ts
@@ -1,7 +1,8 @@
 /**
- * Stateful fuzzing of the request path under a virtual clock: the product's own code from the
- * caller's node to the endpoint, with kills, freezes, cuts, silences, crossed and late messages, drains
- * and shed load, against an oracle that knows every execution. A mutant per invariant must be caught.
+ * Stateful fuzz test of the request path under a virtual clock. Runs the production code from the caller's node to
+ * the endpoint with process kills, freezes, connection losses, unresponsive peers, reordered and delayed messages,
+ * drains and load shedding, and checks it against an oracle that records every execution. One mutant per invariant
+ * shows that a violation is detected.
  */
 import { expect } from 'chai';
 import fc from 'fast-check';
@@ -17,12 +18,12 @@
 
 const SEED = Number(process.env.FERRYSPOOL_FUZZ_SEED ?? 20_260_101);
 const RUNS = Number(process.env.FERRYSPOOL_FUZZ_RUNS ?? 600);
-/** A mutant is caught within so many runs. */
+/** Maximum number of runs within which a mutant must be detected. */
 const MUTANT_RUNS = 5_000;
 const MAX_COMMANDS = 60;
-/** Calls of a caller that repeats a crashing request. */
-const CRASHING_SERIES = 12;
-/** Longer than any request, hold of a slot or late message. */
+/** Number of calls in a series that repeats a crashing request. */
+const CRASHING_CALL_COUNT = 12;
+/** Exceeds the duration of any request, slot occupation or delayed message, in milliseconds. */
 const SETTLE_MS = 20_000;
 
 interface Command {
@@ -47,7 +48,7 @@
       })
       .map(({ node, repeatable, timeoutMs, count }) =>
         command(`${count} calls n${node} ${repeatable} ${timeoutMs}`, (world) => {
-          for (let made = 0; made < count; made += 1) {
+          for (let i = 0; i < count; i += 1) {
             world.call(at(world.nodes, node), repeatable, timeoutMs);
           }
         }),
@@ -60,7 +61,7 @@
     weight: 3,
     arbitrary: fc.tuple(index, flag, fc.constantFrom(1, 3)).map(([node, repeatable, count]) =>
       command(`${count} crashing calls n${node} ${repeatable}`, (world) => {
-        for (let made = 0; made < count; made += 1) {
+        for (let i = 0; i < count; i += 1) {
           world.call(at(world.nodes, node), repeatable, 1_000, true);
         }
       }),
@@ -72,8 +73,8 @@
       .tuple(index, flag, fc.integer({ min: 60, max: 250 }))
       .map(([first, repeatable, gapMs]) =>
         command(`series of crashing calls from n${first} ${repeatable} ${gapMs}`, (world) => {
-          for (let made = 0; made < CRASHING_SERIES; made += 1) {
-            world.call(at(world.nodes, (first + made) % 3), repeatable, 1_000, true);
+          for (let i = 0; i < CRASHING_CALL_COUNT; i += 1) {
+            world.call(at(world.nodes, (first + i) % 3), repeatable, 1_000, true);
             world.advance(gapMs);
           }
         }),
@@ -86,7 +87,7 @@
     weight: 8,
     arbitrary: fc
       .integer({ min: 1, max: 400 })
-      .map((byMs) => command(`advance ${byMs}`, (world) => world.advance(byMs))),
+      .map((durationMs) => command(`advance ${durationMs}`, (world) => world.advance(durationMs))),
   },
   {
     weight: 2,
@@ -120,7 +121,7 @@
   {
     weight: 4,
     arbitrary: fc.nat({ max: 4 }).map((which) =>
-      command(`freeze or thaw ${which}`, (world) => {
+      command(`freeze or thaw process ${which}`, (world) => {
         const { process } = which < 3 ? at(world.nodes, which) : at(world.endpoints, which - 3);
         if (process.isFrozen) {
           world.disturb();
@@ -149,11 +150,11 @@
     weight: 2,
     arbitrary: fc
       .tuple(fc.nat({ max: 4 }), fc.integer({ min: 10, max: 2_000 }))
-      .map(([which, forMs]) =>
-        command(`pause ${which} for ${forMs}`, (world) => {
+      .map(([which, durationMs]) =>
+        command(`pause process ${which} for ${durationMs}`, (world) => {
           const { process } = which < 3 ? at(world.nodes, which) : at(world.endpoints, which - 3);
           process.freeze();
-          world.advance(forMs);
+          world.advance(durationMs);
           world.disturb();
           process.thaw();
         }),
@@ -181,7 +182,7 @@
     arbitrary: fc
       .subarray(['e1', 'e2'])
       .map((names) =>
-        command(`configure drains ${names.join()}`, (world) =>
+        command(`set configured drains to ${names.join()}`, (world) =>
           world.configureDrain(new Set(names)),
         ),
       ),
@@ -191,13 +192,13 @@
     arbitrary: fc
       .tuple(index, fc.constantFrom('alive', 'suspect', 'dead', 'leaving'))
       .map(([node, status]) =>
-        command(`n${node} seems ${status}`, (world) => world.statuses.set(`n${node}`, status)),
+        command(`member n${node} is ${status}`, (world) => world.statuses.set(`n${node}`, status)),
       ),
   },
   {
     weight: 1,
     arbitrary: fc.nat({ max: 50 }).map((call) =>
-      command(`caller ${call} leaves`, (world) => {
+      command(`caller ${call} disconnects`, (world) => {
         const record = world.calls[call];
         if (record !== undefined && record.told.length === 0 && !record.node.process.isFrozen) {
           record.told.push({ kind: 'nothing' });
@@ -208,11 +209,11 @@
   },
 ];
 
-/** Signs of silence where nothing need be wrong. */
-const silenceCommand: WeightedCommand = {
+/** Reports a peer as unresponsive, although it may be working. */
+const suspicionCommand: WeightedCommand = {
   weight: 8,
   arbitrary: fc.tuple(index, index).map(([node, peer]) =>
-    command(`n${node} hears nothing of n${peer}`, (world) => {
+    command(`n${node} reports n${peer} as unresponsive`, (world) => {
       const { process, services } = at(world.nodes, node);
       if (process.isAlive && !process.isFrozen) {
         services.awaited.machineUnresponsive(`n${peer}`);
@@ -239,9 +240,9 @@
   });
 
 /** `tellsBirths` says whether nodes hear that an endpoint has started again under its name. */
-const propertyOf = (arbitrary: ReturnType<typeof scenarioOf>, tellsBirths = false) =>
+const propertyOf = (arbitrary: ReturnType<typeof scenarioOf>, reportsRestarts = false) =>
   fc.property(arbitrary, ({ seed, faults, commands }) => {
-    const world = new RequestWorld(faults, seededRandom(seed), tellsBirths);
+    const world = new RequestWorld(faults, seededRandom(seed), reportsRestarts);
     for (const step of commands) {
       step.run(world);
       world.advance(1);
@@ -251,31 +252,33 @@
     for (const { process } of [...world.nodes, ...world.endpoints]) {
       process.thaw();
     }
-    for (let settled = 0; settled < SETTLE_MS; settled += 500) {
+    for (let settledMs = 0; settledMs < SETTLE_MS; settledMs += 500) {
       world.advance(500);
       failOn(findViolation(world), 'settling');
     }
-    failOn(findUnsettled(world), 'the end');
+    failOn(findUnsettled(world), 'the end of the run');
   });
 
 const scenarios = scenarioOf([...callCommands, ...crashCommands, ...faultCommands]);
 const property = propertyOf(scenarios);
-const birthsProperty = propertyOf(scenarios, true);
-const silenceProperty = propertyOf(scenarioOf([...callCommands, ...faultCommands, silenceCommand]));
+const restartProperty = propertyOf(scenarios, true);
+const suspicionProperty = propertyOf(
+  scenarioOf([...callCommands, ...faultCommands, suspicionCommand]),
+);
 
 interface Mutant {
   readonly name: string;
-  /** What has to find it; the property without silences when absent. */
+  /** The property that must detect the mutant; by default the one without unresponsive peers. */
   readonly property?: typeof property;
   readonly target: object;
   readonly method: string;
-  /** Makes what stands in place of the method. */
+  /** Returns the replacement for the method. */
   readonly replace: (original: (...inputs: unknown[]) => unknown) => unknown;
 }
 
 const mutants: readonly Mutant[] = [
   {
-    name: 'requests that may run once are sent again without proof',
+    name: 'requests that are not repeatable are retried without proof that they have not run',
     target: RequestLifecycle.prototype,
     method: 'mayRetry',
     replace: () =>
@@ -284,7 +287,7 @@
       },
   },
   {
-    name: 'the last attempt alone gives the verdict',
+    name: 'the verdict depends only on the last attempt',
     target: RequestLifecycle.prototype,
     method: 'report',
     replace: (original) =>
@@ -294,8 +297,8 @@
       },
   },
   {
-    name: 'a request is told of a refusal while an attempt is in doubt',
-    property: silenceProperty,
+    name: 'a refusal is reported while an attempt is suspected',
+    property: suspicionProperty,
     target: RequestLifecycle.prototype,
     method: 'settle',
     replace: () =>
@@ -304,7 +307,7 @@
       },
   },
   {
-    name: 'a request that was sent counts as not sent at its deadline',
+    name: 'a sent request is treated as unsent at its deadline',
     target: EndpointAttempt.prototype,
     method: 'expire',
     replace: (original) =>
@@ -313,13 +316,13 @@
       },
   },
   {
-    name: 'a request that was sent counts as not sent when it is given up',
+    name: 'a sent request is treated as unsent when it is given up',
     target: GatedCall.prototype,
     method: 'isUnsent',
     replace: () => () => true,
   },
   {
-    name: 'an endpoint that does not know a request proves that it has not run',
+    name: 'a request that is unknown to its endpoint is treated as not run',
     target: EndpointAttempt.prototype,
     method: 'takeCancelOutcome',
     replace: (original) =>
@@ -328,7 +331,7 @@
       },
   },
   {
-    name: 'a slot is free although the cancellation is not confirmed',
+    name: 'a slot is released although the cancellation is unconfirmed',
     target: EndpointAttempt.prototype,
     method: 'takeCancelOutcome',
     replace: (original) =>
@@ -337,7 +340,7 @@
       },
   },
   {
-    name: 'a slot is free before the endpoint confirms',
+    name: 'a slot is released before the endpoint confirms the cancellation',
     target: EndpointAttempt.prototype,
     method: 'cancel',
     replace: (original) =>
@@ -347,13 +350,13 @@
       },
   },
   {
-    name: 'the end of an answer is not looked at',
+    name: 'the end of an answer is ignored',
     target: EndpointAttempt.prototype,
     method: 'endAnswer',
     replace: () => () => [],
   },
   {
-    name: 'slots are not counted',
+    name: 'occupied slots are not counted',
     target: EndpointAdmission.prototype,
     method: 'dispatchOrRefuse',
     replace: () => (ticket: { requestId: string }) => ({
@@ -362,7 +365,7 @@
     }),
   },
   {
-    name: 'the deadline is not checked when a slot comes free',
+    name: 'the deadline is not checked when a slot becomes free',
     target: EndpointAdmission.prototype,
     method: 'dispatchOrRefuse',
     replace: () =>
@@ -372,48 +375,52 @@
       },
   },
   {
-    name: 'a request under which endpoints ended is sent on',
+    name: 'a request during which endpoints have crashed is forwarded',
     target: SuspicionTable.prototype,
     method: 'standingOf',
     replace: () => () => 'clear',
   },
   {
-    name: 'what a node has learnt of a request is not told',
+    name: 'the suspicions of a node are not propagated',
     target: Containment.prototype,
     method: 'tell',
     replace: () => () => undefined,
   },
   {
-    name: 'a drain does not reach admission',
+    name: 'a drain does not close admission',
     target: EndpointAdmission.prototype,
     method: 'close',
     replace: () => () => [],
   },
 ];
 
-describe('fuzzing of the request path', function () {
+describe('request path under fuzzing', function () {
   this.timeout(600_000);
 
-  it('keeps every promise', () => {
+  it('preserves all invariants', () => {
     fc.assert(property, { seed: SEED, numRuns: RUNS });
   });
 
-  it('keeps every promise where peers seem silent', () => {
-    fc.assert(silenceProperty, { seed: SEED, numRuns: RUNS });
+  it('preserves all invariants while peers are reported as unresponsive', () => {
+    fc.assert(suspicionProperty, { seed: SEED, numRuns: RUNS });
   });
 
-  it('keeps every promise where nodes hear that endpoints have started again', () => {
-    fc.assert(birthsProperty, { seed: SEED, numRuns: RUNS });
+  it('preserves all invariants while nodes are notified of endpoint restarts', () => {
+    fc.assert(restartProperty, { seed: SEED, numRuns: RUNS });
   });
 
   for (const mutant of mutants) {
-    it(`catches: ${mutant.name}`, () => {
+    it(`detects the mutant: ${mutant.name}`, () => {
       const original = Reflect.get(mutant.target, mutant.method) as () => unknown;
       expect(original).to.be.a('function');
       Reflect.set(mutant.target, mutant.method, mutant.replace(original));
       try {
-        const checked = mutant.property ?? property;
-        const result = fc.check(checked, { seed: SEED, numRuns: MUTANT_RUNS, endOnFailure: true });
+        const checkedProperty = mutant.property ?? property;
+        const result = fc.check(checkedProperty, {
+          seed: SEED,
+          numRuns: MUTANT_RUNS,
+          endOnFailure: true,
+        });
         expect(result.failed).to.equal(true);
       } finally {
         Reflect.set(mutant.target, mutant.method, original);
