--- a/test/proxy/request-fuzz.test.ts
+++ b/test/proxy/request-fuzz.test.ts
@@ -239,7 +239,7 @@
     }),
   });
 
-/** `tellsBirths` says whether nodes hear that an endpoint has started again under its name. */
+/** With `reportsRestarts`, nodes are notified that an endpoint has restarted under the same name. */
 const propertyOf = (arbitrary: ReturnType<typeof scenarioOf>, reportsRestarts = false) =>
   fc.property(arbitrary, ({ seed, faults, commands }) => {
     const world = new RequestWorld(faults, seededRandom(seed), reportsRestarts);
