--- a/test/proxy/request-fuzz.test.ts
+++ b/test/proxy/request-fuzz.test.ts
@@ -239,10 +239,10 @@
     }),
   });
 
-/** With `reportsRestarts`, nodes are notified that an endpoint has restarted under the same name. */
-const propertyOf = (arbitrary: ReturnType<typeof scenarioOf>, reportsRestarts = false) =>
+/** With `publishesStartTimes`, nodes are notified that an endpoint has restarted under the same name. */
+const propertyOf = (arbitrary: ReturnType<typeof scenarioOf>, publishesStartTimes = false) =>
   fc.property(arbitrary, ({ seed, faults, commands }) => {
-    const world = new RequestWorld(faults, seededRandom(seed), reportsRestarts);
+    const world = new RequestWorld(faults, seededRandom(seed), publishesStartTimes);
     for (const step of commands) {
       step.run(world);
       world.advance(1);
