--- a/test/proxy/fuzz/request-oracle.ts
+++ b/test/proxy/fuzz/request-oracle.ts
@@ -1,10 +1,10 @@
-/** What must hold after every step: compares what callers were told with what truly ran. */
-import { SLOTS, type CallRecord, type RequestWorld } from './request-world.js';
+/** Invariants of the request path: compares the outcomes that callers received with the executions at endpoints. */
+import { SLOTS_PER_ENDPOINT, type CallRecord, type RequestWorld } from './request-world.js';
 
-/** Time by which an answer may miss its deadline for the machine's own steps, in milliseconds. */
+/** Time by which an answer may be late because of the node's own processing, in milliseconds. */
 const DEADLINE_SLACK_MS = 1;
 
-/** The first broken promise, or undefined. */
+/** Returns the first violated invariant, or undefined. */
 export function findViolation(world: RequestWorld): string | undefined {
   const ran = new Map<string, number>();
   const effective = new Map<string, number>();
@@ -18,17 +18,19 @@
       return `${call.id} (${call.repeatable ? 'repeatable' : 'once'}): ${violation}`;
     }
   }
-  return world.violations[0] ?? findOverrun(world);
+  return world.violations[0] ?? findConcurrencyViolation(world);
 }
 
-/** What is left undone although nothing is left to happen: silent calls, slots that stay taken. */
+/** Finds a call without an outcome, or a request still in flight, once no event is left to run. */
 export function findUnsettled(world: RequestWorld): string | undefined {
-  const silent = world.calls.find((call) => call.told.length === 0);
-  if (silent !== undefined) {
-    return `${silent.id}: told nothing`;
+  const unanswered = world.calls.find((call) => call.outcomes.length === 0);
+  if (unanswered !== undefined) {
+    return `${unanswered.id}: received no outcome`;
   }
-  const busy = world.nodes.find(({ process, gateway }) => process.isAlive && gateway.inFlight > 0);
-  return busy && `${busy.name}: ${busy.gateway.inFlight} requests still in flight`;
+  const busyNode = world.nodes.find(
+    ({ process, gateway }) => process.isAlive && gateway.inFlight > 0,
+  );
+  return busyNode && `${busyNode.name}: ${busyNode.gateway.inFlight} requests still in flight`;
 }
 
 function violationOf(
@@ -37,44 +39,46 @@
   effective: number,
   world: RequestWorld,
 ): string | undefined {
-  const [told] = call.told;
-  if (call.told.length > 1) {
-    return `told twice: ${JSON.stringify(call.told)}`;
+  const [outcome] = call.outcomes;
+  if (call.outcomes.length > 1) {
+    return `received more than one outcome: ${JSON.stringify(call.outcomes)}`;
   }
-  if (isWronglyContained(call)) {
-    return 'refused for ends that are not its doing';
+  if (isContainedWithoutCrash(call)) {
+    return 'refused as contained although it crashes no endpoint';
   }
   if (!call.repeatable && effective > 1) {
-    return `ran ${effective} times`;
+    return `executed ${effective} times`;
   }
-  if (told?.kind === 'error' && told.verdict === 'not-run' && effective > 0) {
-    return `told not-run (${told.code}), ran ${effective} times`;
+  if (outcome?.kind === 'error' && outcome.verdict === 'not-run' && effective > 0) {
+    return `reported as not-run (${outcome.code}), executed ${effective} times`;
   }
-  if (told?.kind === 'answer' && (ran === 0 || !told.content.startsWith(`${call.id}.`))) {
-    return `got the answer ${told.content}, ran ${ran} times`;
+  if (outcome?.kind === 'answer' && (ran === 0 || !outcome.content.startsWith(`${call.id}.`))) {
+    return `received the answer ${outcome.content}, executed ${ran} times`;
   }
-  return isLate(call, world) ? 'told nothing at its deadline' : undefined;
+  return isLate(call, world) ? 'received no outcome by its deadline' : undefined;
 }
 
-function isWronglyContained({ told: [told], isCrashing }: CallRecord): boolean {
-  return told?.kind === 'error' && told.code === 'CONTAINED' && !isCrashing;
+function isContainedWithoutCrash({ outcomes: [outcome], isCrashing }: CallRecord): boolean {
+  return outcome?.kind === 'error' && outcome.code === 'CONTAINED' && !isCrashing;
 }
 
 function isLate(call: CallRecord, world: RequestWorld): boolean {
   const isDue = world.clock.nowMs > call.deadlineAtMs + DEADLINE_SLACK_MS;
-  const isAnswering = call.told.length > 0 || world.ledger.some(({ call: id }) => id === call.id);
+  const isAnswering =
+    call.outcomes.length > 0 || world.ledger.some(({ call: id }) => id === call.id);
   return isDue && !isAnswering && !call.node.process.isFrozen;
 }
 
 /**
- * Each life of a node keeps within its share, whatever happened to its connections. What was sent before the
- * node knew that the endpoint had started again does not count against the new incarnation.
+ * Finds a process generation of a node that exceeded its share of an endpoint's slots; lost connections are no
+ * excuse. Requests sent before the node learned that the endpoint had restarted do not count against the new
+ * incarnation.
  */
-function findOverrun(world: RequestWorld): string | undefined {
+function findConcurrencyViolation(world: RequestWorld): string | undefined {
   for (const [index, endpoint] of world.endpoints.entries()) {
-    for (const [sender, count] of endpoint.peaks) {
+    for (const [sender, count] of endpoint.peakConcurrency) {
       const isOwner = sender.startsWith(`n${index + 1}/`);
-      if (count > (isOwner ? SLOTS : 1)) {
+      if (count > (isOwner ? SLOTS_PER_ENDPOINT : 1)) {
         return `endpoint e${index + 1} ran ${count} requests of ${sender} at once`;
       }
     }
--- a/test/proxy/fuzz/request-world.ts
+++ b/test/proxy/fuzz/request-world.ts
@@ -1,4 +1,4 @@
-/** Callers, nodes and endpoints under a virtual clock, run with the product's own request code. */
+/** Callers, nodes and endpoints under a virtual clock; the nodes run the production request code. */
 import { Containment } from '../../../src/containment/containment.js';
 import type { RandomSource } from '../../../src/control/control-event.js';
 import type { Verdict } from '../../../src/model/verdict.js';
@@ -20,34 +20,33 @@
 import { VirtualScheduler } from '../../../tools/emulator/virtual-scheduler.js';
 import { echoEndpoint, echoService } from '../rig.js';
 import { VirtualEndpoint, type EndpointFaults, type Execution } from './virtual-endpoint.js';
-import { onceWhole, VirtualEndpointPort, VirtualRelay } from './virtual-paths.js';
+import { onBodyEnd, VirtualEndpointPort, VirtualRelay } from './virtual-paths.js';
 import { VirtualConnection, VirtualProcess } from '../../../tools/emulator/virtual-process.js';
 import { VIRTUAL_RELAY, virtualIdentity } from '../virtual-identity.js';
 
-/** The request that ends each endpoint which runs it; all others differ from each other. */
+/** Target of the request that crashes every endpoint that runs it; every other request has its own target. */
 export const CRASHING_TARGET = '/crash';
-/** How long an endpoint is down that a request has ended, in milliseconds: longer than a loss is on its way. */
-const CRASHED_MS = 1_000;
-/** Ends of endpoints after which the request is known, and the time by when it is, in milliseconds. */
-const ENDS_TO_KNOW = 3;
-const KNOWN_AFTER_MS = 700;
-/** Slots of each endpoint. */
-export const SLOTS = 2;
+/** Downtime of an endpoint after a crash, in milliseconds: longer than a lost connection takes to be noticed. */
+const CRASH_DOWNTIME_MS = 1_000;
+/** Number of crashes after which nodes must contain the request, and their time to do so, in milliseconds. */
+const CRASHES_TO_CONTAIN = 3;
+const CONTAINMENT_DELAY_MS = 700;
+export const SLOTS_PER_ENDPOINT = 2;
 const NODE_NAMES = ['n0', 'n1', 'n2'];
-/** The first node has no endpoint beside it. */
+/** The first node has no endpoint on its machine. */
 const ENDPOINT_NAMES = ['e1', 'e2'];
-const UPKEEP_INTERVAL_MS = 250;
-/** Time after which every node that runs must know of a drain, in milliseconds. */
+const RECONCILE_INTERVAL_MS = 250;
+/** Time after which every running node must respect a drain, in milliseconds. */
 const DRAIN_GRACE_MS = 300;
-/** Time from the birth of an endpoint's process to when the nodes' configuration tells of it. */
-const BIRTH_NEWS_MS = 200;
+/** Delay from the start of an endpoint's process until the configuration contains its start time, in milliseconds. */
+const START_TIME_DELAY_MS = 200;
 
-/** What a caller was told. */
-export type Told =
+/** Outcome of a call as the caller sees it. */
+export type CallOutcome =
   | { readonly kind: 'answer'; readonly content: string }
   | { readonly kind: 'error'; readonly verdict: Verdict; readonly code: string }
   | { readonly kind: 'broken' }
-  /** The caller left, or its node died. */
+  /** The caller disconnected, or its node was killed. */
   | { readonly kind: 'nothing' };
 
 /** One caller's request. */
@@ -58,12 +57,12 @@
   readonly deadlineAtMs: number;
   readonly node: VirtualNode;
   readonly generation: number;
-  readonly told: Told[];
-  readonly close: (isWhole: boolean) => void;
+  readonly outcomes: CallOutcome[];
+  readonly close: (isComplete: boolean) => void;
   giveUp: () => void;
 }
 
-/** One node; it gets a new life after each death. */
+/** One node, which can be killed and started again. */
 export class VirtualNode {
   readonly process: VirtualProcess;
   containment!: Containment;
@@ -78,12 +77,12 @@
     this.start();
   }
 
-  /** Name and life, as endpoints see their senders. */
+  /** Name and process generation, by which endpoints distinguish senders. */
   get identity(): string {
     return `${this.name}/${this.process.generation}`;
   }
 
-  /** Begins a new life: nothing of the last one is kept. */
+  /** Starts a new process generation without any state of the previous one. */
   start(): void {
     this.process.revive();
     const { world, process: scheduler } = this;
@@ -95,7 +94,7 @@
       counters,
       logStateChange: () => undefined,
     });
-    this.containment.subscribe((changed) => world.tell(this, changed));
+    this.containment.subscribe((changed) => world.notifyPeers(this, changed));
     this.gateway = new EndpointGateway({
       containment: this.containment,
       client: new VirtualEndpointPort(world, this),
@@ -123,43 +122,46 @@
       direct: this.gateway,
       relay: new VirtualRelay(world, this),
     });
-    this.keepUp();
+    this.scheduleReconcile();
   }
 
-  private keepUp(): void {
-    this.process.schedule(UPKEEP_INTERVAL_MS, () => {
+  private scheduleReconcile(): void {
+    this.process.schedule(RECONCILE_INTERVAL_MS, () => {
       this.gateway.reconcile();
-      this.keepUp();
+      this.scheduleReconcile();
     });
   }
 }
 
-/** Everything. */
+/** All nodes, endpoints, calls and connections of one run. */
 export class RequestWorld {
   readonly clock = new VirtualScheduler();
   readonly ledger: Execution[] = [];
   readonly calls: CallRecord[] = [];
-  /** Promises that were broken at some moment. */
+  /** Invariants that were violated during the run. */
   readonly violations: string[] = [];
   readonly statuses = new Map<string, MemberStatus>();
   readonly nodes: readonly VirtualNode[];
   readonly endpoints: readonly VirtualEndpoint[];
   snapshot: Snapshot;
-  private drains: ReadonlySet<string> = new Set();
-  /** When the process of each endpoint was born, where that was told. */
+  private drainingNames: ReadonlySet<string> = new Set();
+  /** Start time of each endpoint's process, where the configuration contains it. */
   private readonly bornAtMs = new Map<string, number>();
   private readonly drainedAtMs = new Map<string, number>();
   private readonly connections = new Set<VirtualConnection>();
-  /** Ends under the crashing request since a node was last disturbed, which may have lost the news. */
-  private crashesAtMs: number[] = [];
+  /**
+   * Times of the crashes since a node was last killed, frozen or thawed: such a node may have missed the
+   * suspicions that earlier crashes raised.
+   */
+  private crashTimesMs: number[] = [];
 
-  /** `tellsBirths` says whether the configuration tells that an endpoint has started again. */
+  /** `publishesStartTimes` says whether the configuration contains the start times of restarted endpoints. */
   constructor(
     private readonly faults: EndpointFaults,
     readonly random: RandomSource,
-    private readonly tellsBirths = false,
+    private readonly publishesStartTimes = false,
   ) {
-    this.snapshot = snapshotOf(this.drains, this.bornAtMs);
+    this.snapshot = snapshotOf(this.drainingNames, this.bornAtMs);
     this.endpoints = ENDPOINT_NAMES.map(
       () => new VirtualEndpoint(new VirtualProcess(this.clock), this.ledger, faults, random),
     );
@@ -169,30 +171,30 @@
     });
   }
 
-  /** Tells the other nodes what one has learnt; each passes it on. */
-  tell(from: VirtualNode, changed: readonly Suspicion[]): void {
+  /** Sends changed suspicions to the other nodes, which forward them in turn. */
+  notifyPeers(from: VirtualNode, changed: readonly Suspicion[]): void {
     for (const { process, containment } of this.nodes.filter((node) => node !== from)) {
       process.schedule(this.delayMs(), () => containment.learn(changed));
     }
   }
 
-  /** A node was disturbed: it may not know what the others know. */
-  disturb(): void {
-    this.crashesAtMs = [];
+  /** Called when a node was killed, frozen or thawed: it may lack suspicions that the others have. */
+  resetCrashTimes(): void {
+    this.crashTimesMs = [];
   }
 
   private crash(endpoint: VirtualEndpoint): void {
-    this.crashesAtMs.push(this.clock.nowMs);
+    this.crashTimesMs.push(this.clock.nowMs);
     this.killEndpoint(endpoint);
-    const revive = (): void => {
+    const restart = (): void => {
       if (!endpoint.process.isAlive) {
-        this.reviveEndpoint(endpoint);
+        this.restartEndpoint(endpoint);
       }
     };
-    this.clock.schedule(this.clock.nowMs + CRASHED_MS, { run: revive });
+    this.clock.schedule(this.clock.nowMs + CRASH_DOWNTIME_MS, { run: restart });
   }
 
-  /** Time on the way of one message: mostly short, now and then long enough to cross others. */
+  /** Delay of one message: usually short, sometimes long enough for later messages to overtake it. */
   readonly delayMs = (): number => {
     const isLate = this.random() < this.faults.late;
     return isLate ? this.random() * 300 : 0.5 + this.random() * 3;
@@ -231,7 +233,7 @@
     }
     const id = `c${this.calls.length}`;
     const reply = new VirtualReply(this.random);
-    const { told, close } = reply;
+    const { outcomes, close } = reply;
     const deadlineAtMs = this.clock.nowMs + timeoutMs;
     const { generation } = node.process;
     const giveUp = (): void => undefined;
@@ -242,7 +244,7 @@
       deadlineAtMs,
       node,
       generation,
-      told,
+      outcomes,
       close,
       giveUp,
     };
@@ -250,7 +252,7 @@
     const { snapshot } = this;
     const match = new RouteTable(snapshot).match('', '/', 'GET');
     if (match === undefined) {
-      throw new Error('no route');
+      throw new Error('no route matches the path /');
     }
     const runner = new RequestRunner({
       services: node.services,
@@ -269,7 +271,7 @@
     runner.start(EMPTY_BODY);
   }
 
-  /** The node's planned stop is over: it gives up what its callers wait for. */
+  /** The timeout of the node's planned stop has passed: it gives up all requests that are still pending. */
   giveUp(node: VirtualNode): void {
     const { isAlive, isFrozen, generation } = node.process;
     for (const call of this.calls) {
@@ -279,7 +281,7 @@
     }
   }
 
-  /** Every open connection of the process dies. */
+  /** Cuts every open connection of the process. */
   cut(process: VirtualProcess, losesToServer: boolean, losesToClient: boolean): void {
     for (const connection of this.connections) {
       if (connection.client === process || connection.server === process) {
@@ -292,10 +294,10 @@
   killNode(node: VirtualNode): void {
     this.cut(node.process, this.random() < 0.5, true);
     node.process.kill();
-    this.disturb();
+    this.resetCrashTimes();
     for (const call of this.calls) {
-      if (call.node === node && call.told.length === 0) {
-        call.told.push({ kind: 'nothing' });
+      if (call.node === node && call.outcomes.length === 0) {
+        call.outcomes.push({ kind: 'nothing' });
       }
     }
   }
@@ -305,35 +307,35 @@
     endpoint.kill();
   }
 
-  /** The endpoint starts again under its name, and knows nothing of before. */
-  reviveEndpoint(endpoint: VirtualEndpoint): void {
+  /** Restarts the endpoint under its name, without any earlier state. */
+  restartEndpoint(endpoint: VirtualEndpoint): void {
     endpoint.process.revive();
-    if (!this.tellsBirths) {
+    if (!this.publishesStartTimes) {
       return;
     }
     const name = ENDPOINT_NAMES[this.endpoints.indexOf(endpoint)] ?? '';
     const bornAtMs = Math.floor(this.clock.nowMs);
-    const tell = (): void => {
+    const publish = (): void => {
       this.bornAtMs.set(name, bornAtMs);
-      this.snapshot = snapshotOf(this.drains, this.bornAtMs);
+      this.snapshot = snapshotOf(this.drainingNames, this.bornAtMs);
     };
-    this.clock.schedule(this.clock.nowMs + BIRTH_NEWS_MS, { run: tell });
+    this.clock.schedule(this.clock.nowMs + START_TIME_DELAY_MS, { run: publish });
   }
 
-  /** What must hold whenever a node sends a request to an endpoint. */
+  /** Records a violation when a node sends a request that it must not send to this endpoint. */
   checkDispatch(endpointName: string, call: Call, node: VirtualNode): void {
     const nowMs = this.clock.nowMs;
     if (call.deadlineAtMs <= nowMs) {
       this.violations.push(`${call.requestId} was sent after its deadline`);
     }
-    const [, , thirdAtMs = Infinity] = this.crashesAtMs.slice(0, ENDS_TO_KNOW);
-    if (call.target === CRASHING_TARGET && nowMs > thirdAtMs + KNOWN_AFTER_MS) {
-      this.violations.push(`${call.requestId} was sent after ${this.crashesAtMs.length} ends`);
+    const [, , thirdAtMs = Infinity] = this.crashTimesMs.slice(0, CRASHES_TO_CONTAIN);
+    if (call.target === CRASHING_TARGET && nowMs > thirdAtMs + CONTAINMENT_DELAY_MS) {
+      this.violations.push(`${call.requestId} was sent after ${this.crashTimesMs.length} crashes`);
     }
     const drainedAtMs = this.drainedAtMs.get(endpointName) ?? Infinity;
     const knownSinceMs = Math.max(drainedAtMs, node.process.thawedAtMs) + DRAIN_GRACE_MS;
     if (nowMs > knownSinceMs) {
-      this.violations.push(`${call.requestId} was sent to ${endpointName}, which drains`);
+      this.violations.push(`${call.requestId} was sent to ${endpointName}, which is draining`);
     }
   }
 
@@ -342,7 +344,7 @@
       const since = Math.min(this.drainedAtMs.get(name) ?? Infinity, this.clock.nowMs);
       this.drainedAtMs.set(name, names.has(name) ? since : Infinity);
     }
-    this.drains = names;
+    this.drainingNames = names;
     this.snapshot = snapshotOf(names, this.bornAtMs);
   }
 
@@ -351,48 +353,48 @@
   }
 }
 
-/** The caller's side; keeps what the caller was told. */
+/** Records the outcomes that the caller receives. */
 class VirtualReply implements CallerReply {
-  readonly told: Told[] = [];
-  private readonly listeners: ((isWhole: boolean) => void)[] = [];
+  readonly outcomes: CallOutcome[] = [];
+  private readonly listeners: ((isComplete: boolean) => void)[] = [];
 
   constructor(private readonly random: RandomSource) {}
 
-  readonly close = (isWhole: boolean): void => {
-    this.listeners.splice(0).forEach((listener) => listener(isWhole));
+  readonly close = (isComplete: boolean): void => {
+    this.listeners.splice(0).forEach((listener) => listener(isComplete));
   };
 
   answer(answer: Answer, _requestId: string, _holdBytes: number, observer: AnswerObserver): void {
-    onceWhole(answer, (isWhole) => {
+    onBodyEnd(answer, (isComplete) => {
       if (this.hasBegun()) {
         observer.truncated(false);
         return;
       }
-      if (!isWhole) {
+      if (!isComplete) {
         observer.truncated(this.random() < 0.5);
         return;
       }
-      this.told.push({ kind: 'answer', content: answer.headers[1] ?? '' });
+      this.outcomes.push({ kind: 'answer', content: answer.headers[1] ?? '' });
       observer.completed();
       this.close(true);
     });
   }
 
   fail(error: RequestError, verdict: Verdict): void {
-    this.told.push({ kind: 'error', verdict, code: error.code });
+    this.outcomes.push({ kind: 'error', verdict, code: error.code });
     this.close(true);
   }
 
   hasBegun(): boolean {
-    return this.told.length > 0;
+    return this.outcomes.length > 0;
   }
 
   breakConnection(): void {
-    this.told.push({ kind: 'broken' });
+    this.outcomes.push({ kind: 'broken' });
     this.close(false);
   }
 
-  onClose(action: (isWhole: boolean) => void): void {
+  onClose(action: (isComplete: boolean) => void): void {
     this.listeners.push(action);
   }
 }
@@ -405,7 +407,7 @@
     echoEndpoint(name, 1_000 + index, {
       ...(bornAtMs.has(name) && { bornAtMs: bornAtMs.get(name) }),
       machine: `n${index + 1}`,
-      slots: SLOTS,
+      slots: SLOTS_PER_ENDPOINT,
       state: draining.has(name) ? 'draining' : 'active',
     }),
   );
--- a/test/proxy/fuzz/virtual-endpoint.ts
+++ b/test/proxy/fuzz/virtual-endpoint.ts
@@ -1,46 +1,45 @@
-/** An endpoint under the virtual clock, with a ledger of every execution. */
+/** An endpoint under the virtual clock, which records every execution in a ledger. */
 import type { RandomSource } from '../../../src/control/control-event.js';
 import type { CancelOutcome } from '../../../src/proxy/endpoint-client.js';
 import type { CancelTimer } from '../../../src/proxy/scheduler.js';
 import type { VirtualProcess } from '../../../tools/emulator/virtual-process.js';
 
-/** Chances of faults, from 0 to 1. */
+/** Probabilities of faults, from 0 to 1. */
 export interface EndpointFaults {
-  /** A request is refused although there is room. */
+  /** A request is refused although a slot is free. */
   readonly shed: number;
-  /** The connection dies when the answer is due. */
+  /** The connection is lost when the answer is due. */
   readonly lost: number;
-  /** The answer breaks off. */
+  /** The answer is truncated. */
   readonly broken: number;
-  /** The work takes longer than most callers wait. */
+  /** The work takes longer than the timeout of most callers. */
   readonly slow: number;
-  /** A message takes long enough to cross others. */
+  /** A message is delayed long enough for later messages to overtake it. */
   readonly late: number;
 }
 
-/** One execution; without effect only when it was cancelled. */
+/** One execution; it has no effect only when it was cancelled. */
 export interface Execution {
   readonly call: string;
   readonly attempt: string;
   hasEffect: boolean;
 }
 
-/** How the endpoint reacts to a request. */
+/** Ways in which the endpoint responds to a request. */
 export interface EndpointReply {
   answer(content: string): void;
-  endAnswer(isWhole: boolean): void;
+  endAnswer(isComplete: boolean): void;
   refuse(isDraining: boolean): void;
-  lose(): void;
+  dropConnection(): void;
 }
 
-/** A request as it arrives. */
 export interface ArrivingRequest {
   readonly call: string;
   readonly attempt: string;
   readonly remainingMs: number;
-  /** Whether the endpoint ends before it has done the work. */
+  /** Whether the endpoint crashes instead of finishing the work. */
   readonly isCrashing: boolean;
-  /** Node and life that sent it, and the incarnation of the endpoint that it is meant for. */
+  /** Sending node with its process generation, and the incarnation of the endpoint that the request is addressed to. */
   readonly sender: string;
 }
 
@@ -55,11 +54,11 @@
 
 export class VirtualEndpoint {
   isDraining = false;
-  /** Most requests of one sender that ran at once, by sender. */
-  readonly peaks = new Map<string, number>();
+  /** Maximum number of requests that ran concurrently, by sender. */
+  readonly peakConcurrency = new Map<string, number>();
   private readonly running = new Map<string, Running>();
   private phases = new Map<string, Phase>();
-  /** Ends this endpoint, as a crashing request does. */
+  /** Crashes this endpoint; called when a crashing request would finish. */
   crash: () => void = () => undefined;
 
   constructor(
@@ -89,7 +88,7 @@
     this.phases.set(attempt, 'running');
     this.running.set(attempt, { sender, execution, reply, stopTimer });
     const count = [...this.running.values()].filter((other) => other.sender === sender).length;
-    this.peaks.set(sender, Math.max(count, this.peaks.get(sender) ?? 0));
+    this.peakConcurrency.set(sender, Math.max(count, this.peakConcurrency.get(sender) ?? 0));
   }
 
   cancel(attempt: string): CancelOutcome {
@@ -105,14 +104,14 @@
     return phase === 'barred' ? 'not-started' : phase;
   }
 
-  /** The sender's connection closed: the work is stopped. */
-  closed(attempt: string): void {
+  /** Stops the work, because the sender's connection was closed. */
+  connectionClosed(attempt: string): void {
     if (this.phases.get(attempt) === 'running') {
       this.stop(attempt);
     }
   }
 
-  /** Dies with its memory; what ran may have had its effect. */
+  /** Kills the process with its state; the requests that were running may have taken effect. */
   kill(): void {
     this.process.kill();
     this.running.clear();
@@ -135,15 +134,15 @@
     const running = this.running.get(attempt);
     this.running.delete(attempt);
     this.phases.set(attempt, 'finished');
-    const drawn = this.random();
+    const sample = this.random();
     if (running === undefined) {
       return;
     }
-    if (drawn < this.faults.lost) {
-      running.reply.lose();
+    if (sample < this.faults.lost) {
+      running.reply.dropConnection();
       return;
     }
     running.reply.answer(attempt);
-    running.reply.endAnswer(drawn >= this.faults.lost + this.faults.broken);
+    running.reply.endAnswer(sample >= this.faults.lost + this.faults.broken);
   }
 }
--- a/test/proxy/fuzz/virtual-paths.ts
+++ b/test/proxy/fuzz/virtual-paths.ts
@@ -1,4 +1,4 @@
-/** Ways between virtual processes: to endpoints, and to the nodes beside them. */
+/** Paths between virtual processes: to endpoints, and to the nodes on their machines. */
 import { EventEmitter } from 'node:events';
 import type { Readable } from 'node:stream';
 import type { Endpoint } from '../../../src/model/resource.js';
@@ -22,7 +22,7 @@
 } from '../../../src/proxy/request-error.js';
 import { CRASHING_TARGET, type RequestWorld, type VirtualNode } from './request-world.js';
 
-/** A body without bytes. */
+/** A body stream that carries no bytes. */
 class VirtualStream extends EventEmitter {
   complete = false;
 
@@ -31,7 +31,7 @@
   }
 }
 
-/** An answer whose body ends when {@link end} is called. */
+/** An answer whose body ends when {@link VirtualAnswer.end} is called. */
 export class VirtualAnswer {
   readonly answer: Answer;
   private readonly stream = new VirtualStream();
@@ -50,14 +50,14 @@
     };
   }
 
-  end(isWhole: boolean): void {
-    this.stream.complete = isWhole;
+  end(isComplete: boolean): void {
+    this.stream.complete = isComplete;
     this.stream.emit('close');
   }
 }
 
-/** Calls `action` at the end of the answer's body. */
-export function onceWhole({ body }: Answer, action: (isWhole: boolean) => void): void {
+/** Calls `action` when the answer's body ends, with whether it is complete. */
+export function onBodyEnd({ body }: Answer, action: (isComplete: boolean) => void): void {
   if (body.kind === 'held') {
     action(true);
   } else {
@@ -65,7 +65,7 @@
   }
 }
 
-/** The endpoints as one node reaches them. */
+/** Sends requests of one node directly to endpoints. */
 export class VirtualEndpointPort implements EndpointConnector {
   constructor(
     private readonly world: RequestWorld,
@@ -92,7 +92,7 @@
         answers.forEach((answer) => answer.end(false));
         settle(() => observer.failed('lost'));
       },
-      () => target.closed(call.requestId),
+      () => target.connectionClosed(call.requestId),
     );
     const transmit = (): void => {
       if (state === 'settled') {
@@ -118,12 +118,12 @@
               answers.push(answer);
               settle(() => observer.answered(answer.answer));
             }),
-          endAnswer: (isWhole) => connection.toClient(() => answers[0]?.end(isWhole)),
+          endAnswer: (isComplete) => connection.toClient(() => answers[0]?.end(isComplete)),
           refuse: (draining) =>
             connection.toClient(() => {
               settle(() => observer.refused({ inFlight: 0, slots: 0, draining }, undefined, false));
             }),
-          lose: () => connection.cut(false, true),
+          dropConnection: () => connection.cut(false, true),
         });
       });
     };
@@ -186,7 +186,7 @@
   }
 }
 
-/** The nodes beside endpoints as one node reaches them. */
+/** Relays requests of one node to the nodes on the endpoints' machines. */
 export class VirtualRelay implements EndpointPath {
   constructor(
     private readonly world: RequestWorld,
@@ -196,7 +196,7 @@
   submit(endpoint: Endpoint, call: Call, observer: AttemptObserver): Attempt {
     const { world, node } = this;
     const peer = world.nodeOf(endpoint.spec.machine ?? '');
-    let passedOn: VirtualAnswer | undefined;
+    let forwarded: VirtualAnswer | undefined;
     let isSettled = false;
     let relayed: Attempt | undefined;
     const settle = (action: () => void): void => {
@@ -213,7 +213,7 @@
       node.process,
       peer.process,
       () => {
-        passedOn?.end(false);
+        forwarded?.end(false);
         settle(() => observer.failed(new ConnectionLostError('lost')));
       },
       () => relayed?.abort(),
@@ -227,11 +227,13 @@
         {
           answered: (answer) => {
             connection.toClient(() => {
-              const copy = new VirtualAnswer(answer.headers[1] ?? '');
-              passedOn = copy;
-              settle(() => observer.answered({ ...copy.answer, load: answer.load }));
+              const forwardedAnswer = new VirtualAnswer(answer.headers[1] ?? '');
+              forwarded = forwardedAnswer;
+              settle(() => observer.answered({ ...forwardedAnswer.answer, load: answer.load }));
             });
-            onceWhole(answer, (isWhole) => connection.toClient(() => passedOn?.end(isWhole)));
+            onBodyEnd(answer, (isComplete) =>
+              connection.toClient(() => forwarded?.end(isComplete)),
+            );
           },
           failed: (error, load) => {
             connection.toClient(() => {
@@ -247,14 +249,14 @@
       abort: () => {
         isSettled = true;
         connection.close();
-        passedOn?.end(false);
+        forwarded?.end(false);
       },
       isUnsent: () => false,
     };
   }
 }
 
-/** The caller's request that an attempt belongs to: its identity without the attempt's number. */
+/** Returns the id of the caller's request that an attempt belongs to: the attempt's id without its number. */
 export function callOf(call: Pick<Call, 'requestId'>): string {
   return call.requestId.replace(/\.[0-9]+$/, '');
 }
--- a/test/proxy/request-fuzz.test.ts
+++ b/test/proxy/request-fuzz.test.ts
@@ -123,11 +123,11 @@
       command(`freeze or thaw ${which}`, (world) => {
         const { process } = which < 3 ? at(world.nodes, which) : at(world.endpoints, which - 3);
         if (process.isFrozen) {
-          world.disturb();
+          world.resetCrashTimes();
           process.thaw();
         } else if (process.isAlive) {
           process.freeze();
-          world.disturb();
+          world.resetCrashTimes();
         }
       }),
     ),
@@ -140,7 +140,7 @@
         if (endpoint.process.isAlive) {
           world.killEndpoint(endpoint);
         } else {
-          world.reviveEndpoint(endpoint);
+          world.restartEndpoint(endpoint);
         }
       }),
     ),
@@ -154,7 +154,7 @@
           const { process } = which < 3 ? at(world.nodes, which) : at(world.endpoints, which - 3);
           process.freeze();
           world.advance(forMs);
-          world.disturb();
+          world.resetCrashTimes();
           process.thaw();
         }),
       ),
@@ -164,7 +164,7 @@
     arbitrary: fc.nat({ max: 1 }).map((which) =>
       command(`restart e${which + 1}`, (world) => {
         world.killEndpoint(at(world.endpoints, which));
-        world.reviveEndpoint(at(world.endpoints, which));
+        world.restartEndpoint(at(world.endpoints, which));
       }),
     ),
   },
@@ -199,8 +199,8 @@
     arbitrary: fc.nat({ max: 50 }).map((call) =>
       command(`caller ${call} leaves`, (world) => {
         const record = world.calls[call];
-        if (record !== undefined && record.told.length === 0 && !record.node.process.isFrozen) {
-          record.told.push({ kind: 'nothing' });
+        if (record !== undefined && record.outcomes.length === 0 && !record.node.process.isFrozen) {
+          record.outcomes.push({ kind: 'nothing' });
           record.close(false);
         }
       }),
@@ -247,7 +247,7 @@
       world.advance(1);
       failOn(findViolation(world), step.name);
     }
-    world.disturb();
+    world.resetCrashTimes();
     for (const { process } of [...world.nodes, ...world.endpoints]) {
       process.thaw();
     }
