--- a/test/proxy/planned-stop-model.test.ts
+++ b/test/proxy/planned-stop-model.test.ts
@@ -4,7 +4,13 @@
  */
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { runScript, WRONG_PARTS, PRODUCT, type Parts, type Step } from './stop/stop-script.js';
+import {
+  runScript,
+  MUTANTS,
+  PRODUCTION,
+  type StopBehavior,
+  type Step,
+} from './stop/stop-script.js';
 import type { WorldOptions } from './stop/stop-world.js';
 
 const SEED = 20_261_202;
@@ -58,7 +64,7 @@
   peersCloseMs: fc.constantFrom(0, 50, 200),
 });
 
-function check(parts: Parts): fc.RunDetails<[steps: Step[], world: WorldOptions]> {
+function check(parts: StopBehavior): fc.RunDetails<[steps: Step[], world: WorldOptions]> {
   const property = fc.property(
     script,
     options,
@@ -92,14 +98,14 @@
 
   it('keeps its promises in long scripts', function () {
     this.timeout(120_000);
-    const { failed, counterexample } = check(PRODUCT);
+    const { failed, counterexample } = check(PRODUCTION);
     const [steps = [], world = PLAIN] = counterexample ?? [];
     const found = failed ? runScript(steps, world) : [];
     expect(found, JSON.stringify({ steps, world })).to.deep.equal([]);
     expect(failed).to.equal(false);
   });
 
-  for (const { name, ...parts } of WRONG_PARTS) {
+  for (const { name, ...parts } of MUTANTS) {
     it(`finds a stop that ${name}`, function () {
       this.timeout(120_000);
       expect(check(parts).failed).to.equal(true);
--- a/test/proxy/stop/fake-connection.ts
+++ b/test/proxy/stop/fake-connection.ts
@@ -1,11 +1,11 @@
-/** A caller's connection without a socket: requests and answers in the order in which Node handles them. */
+/** A caller's connection without a socket; it handles requests and responses in the order in which Node does. */
 import { EventEmitter } from 'node:events';
 import type http from 'node:http';
 
 /** Length of the body of each request, in bytes. */
 const BODY_BYTES = 2;
 
-/** One request on a connection, and its answer. */
+/** One request on a connection, and its response. */
 export class FakeExchange {
   readonly message: FakeMessage;
   readonly response: FakeResponse;
@@ -13,8 +13,8 @@
   constructor(
     readonly id: string,
     readonly connection: FakeConnection,
-    /** Whether an answer that says that the connection ends was given before the request came. */
-    readonly cameBehindLast: boolean,
+    /** Whether the request arrived after a response with which the connection ends (`Connection: close`). */
+    readonly followsLastAnswer: boolean,
     readonly arrivedAtMs: number,
   ) {
     this.message = new FakeMessage(connection, id);
@@ -22,11 +22,11 @@
   }
 }
 
-/** A connection; its exchanges are answered in order. */
+/** A connection that sends its responses in the order of the requests. */
 export class FakeConnection extends EventEmitter {
   readonly exchanges: FakeExchange[] = [];
   isClosed = false;
-  isCallerGone = false;
+  hasCallerDisconnected = false;
 
   constructor(
     private readonly server: http.Server,
@@ -36,10 +36,10 @@
     super();
   }
 
-  /** A request's head arrives; its body is still to come. */
-  head(): void {
-    const before = this.exchanges.at(-1);
-    if (this.isClosed || (before !== undefined && !before.message.complete)) {
+  /** Receives the head of a request, whose body follows later. */
+  receiveHead(): void {
+    const previous = this.exchanges.at(-1);
+    if (this.isClosed || (previous !== undefined && !previous.message.complete)) {
       return;
     }
     const isLast = this.exchanges.some(({ response }) => !response.shouldKeepAlive);
@@ -49,23 +49,23 @@
     this.server.emit('request', exchange.message, exchange.response);
   }
 
-  /** The rest of the last request arrives. */
-  body(): void {
+  /** Receives the body of the last request. */
+  receiveBody(): void {
     const message = this.exchanges.at(-1)?.message;
     if (!this.isClosed && message !== undefined && !message.complete) {
       message.finish();
     }
   }
 
-  callerLeaves(): void {
-    this.isCallerGone ||= !this.isClosed;
+  disconnectCaller(): void {
+    this.hasCallerDisconnected ||= !this.isClosed;
     this.destroy();
   }
 
-  /** Answers that were ended, or destroyed, take effect as soon as those before them have gone out. */
+  /** Sends or destroys the responses that were ended or destroyed, once all earlier ones have been sent. */
   flush(): void {
     for (const { response } of this.exchanges) {
-      response.takeTurn();
+      response.assignSocket();
       if (response.isBroken) {
         this.destroy();
       }
@@ -73,7 +73,7 @@
         return;
       }
       if (!response.writableFinished && !this.isClosed) {
-        response.goOut();
+        response.finishWriting();
         if (!response.shouldKeepAlive) {
           this.destroy();
         }
@@ -89,14 +89,16 @@
     return !this.isClosed;
   }
 
-  /** Its caller closes as soon as it has read all. */
+  /** Closes at once: the caller closes its side as soon as it has read everything. */
   end(): void {
     this.destroy();
   }
 
-  /** Whether all answers before this one have gone out. */
-  isTurnOf(response: FakeResponse): boolean {
-    return this.exchanges.find((one) => !one.response.writableFinished)?.response === response;
+  /** Whether all responses before this one, but not this one, have been sent. */
+  isNextToSend(response: FakeResponse): boolean {
+    return (
+      this.exchanges.find((exchange) => !exchange.response.writableFinished)?.response === response
+    );
   }
 
   destroy(): void {
@@ -116,7 +118,7 @@
   }
 }
 
-/** Stands for `http.IncomingMessage`. */
+/** Replaces `http.IncomingMessage`. */
 export class FakeMessage extends EventEmitter {
   readonly method = 'POST';
   readonly url = '/';
@@ -148,7 +150,7 @@
   }
 }
 
-/** Stands for `http.ServerResponse`. */
+/** Replaces `http.ServerResponse`. */
 export class FakeResponse extends EventEmitter {
   headersSent = false;
   destroyed = false;
@@ -157,22 +159,22 @@
   isEnded = false;
   isBroken = false;
   headCount = 0;
-  private hasTurn = false;
+  private hasSocket = false;
   status = 0;
 
   constructor(private readonly connection: FakeConnection) {
     super();
   }
 
-  /** As with Node, one behind others has no connection yet. */
+  /** As in Node, a response that is queued behind others has no socket yet. */
   get socket(): FakeConnection | null {
-    return this.connection.isTurnOf(this) ? this.connection : null;
+    return this.connection.isNextToSend(this) ? this.connection : null;
   }
 
-  /** The answers before it have gone out. */
-  takeTurn(): void {
-    if (!this.hasTurn) {
-      this.hasTurn = true;
+  /** Called once all earlier responses have been sent. */
+  assignSocket(): void {
+    if (!this.hasSocket) {
+      this.hasSocket = true;
       this.emit('socket', this.connection);
     }
   }
@@ -194,12 +196,12 @@
     }
   }
 
-  goOut(): void {
+  finishWriting(): void {
     this.writableFinished = true;
     this.emit('close');
   }
 
-  /** One behind others has no socket yet: its connection ends in its turn. */
+  /** A response that is queued behind others has no socket yet: its connection ends once the others have been sent. */
   destroy(): void {
     this.destroyed = true;
     this.isBroken = true;
--- a/test/proxy/stop/stop-script.ts
+++ b/test/proxy/stop/stop-script.ts
@@ -1,49 +1,49 @@
-/** Scripts of what happens around a planned stop, and what must hold whichever runs. */
+/** Scripts of events around a planned stop, and the invariants that must hold for every script. */
 import { PlannedStop, type StopEffect, type StopEvent } from '../../../src/proxy/planned-stop.js';
 import type { FakeExchange } from './fake-connection.js';
 import {
   LIMITS,
-  LONGEST_STOP_MS,
+  MAX_STOP_MS,
   StopWorld,
   type FakeAttempt,
   type WorldOptions,
 } from './stop-world.js';
 
-/** One thing that happens; those of connections name one by its index. */
+/** One event; `connection` is the index of a connection. */
 export type Step =
   | { readonly type: 'stop' | 'accept' | 'link-silent' | 'next-bound' }
   | { readonly type: 'head' | 'body' | 'request' | 'cancel'; readonly connection: number }
   | { readonly type: 'send' | 'answer' | 'begin' | 'finish' | 'break' | 'refuse' }
   | { readonly type: 'wait'; readonly ms: number };
 
-/** What a run is made of; tests exchange parts of it for wrong ones. */
-export interface Parts {
+/** Decisions of the node that mutants replace. */
+export interface StopBehavior {
   readonly createStop: () => PlannedStop;
-  readonly saysUnsent: (attempt: FakeAttempt) => boolean;
+  readonly isUnsent: (attempt: FakeAttempt) => boolean;
 }
 
-/** The product's own decisions. */
-export const PRODUCT: Parts = {
+/** The decisions of the production code. */
+export const PRODUCTION: StopBehavior = {
   createStop: () => new PlannedStop(LIMITS),
-  saysUnsent: ({ mayHaveRun }) => !mayHaveRun,
+  isUnsent: ({ mayHaveRun }) => !mayHaveRun,
 };
 
-/** Runs the script to the end of the stop; gives what was broken. */
+/** Runs the script to the end of the stop and returns the violated invariants. */
 export function runScript(
   steps: readonly Step[],
   options: WorldOptions,
-  { createStop, saysUnsent }: Parts = PRODUCT,
+  { createStop, isUnsent }: StopBehavior = PRODUCTION,
 ): string[] {
-  const world = new StopWorld(options, createStop(), saysUnsent);
+  const world = new StopWorld(options, createStop(), isUnsent);
   return withVirtualTimers(world, () => {
-    steps.forEach((step) => take(world, step));
+    steps.forEach((step) => applyStep(world, step));
     world.beginStop();
-    world.advance(LONGEST_STOP_MS + 100);
+    world.advance(MAX_STOP_MS + 100);
     return [...world.violations, ...findViolations(world)];
   });
 }
 
-/** The timer of refused bodies is Node's: it runs in the world's time meanwhile. */
+/** Refused bodies use Node's timers: replaces these by timers in virtual time while `action` runs. */
 function withVirtualTimers<T>(world: StopWorld, action: () => T): T {
   const { setTimeout: realSet, clearTimeout: realClear } = globalThis;
   const set = (run: () => void, ms: number): unknown => world.after(ms, run);
@@ -56,129 +56,137 @@
   }
 }
 
-function take(world: StopWorld, step: Step): void {
+function applyStep(world: StopWorld, step: Step): void {
   switch (step.type) {
     case 'stop':
       return world.beginStop();
     case 'accept':
       return void world.accept();
     case 'link-silent':
-      return world.linkIsSilent();
+      return world.suspectPeer();
     case 'next-bound':
       return world.advance(world.msToNextBound());
     case 'wait':
       return world.advance(step.ms);
     case 'head':
-      return world.connections[step.connection]?.head();
+      return world.connections[step.connection]?.receiveHead();
     case 'body':
-      return world.connections[step.connection]?.body();
+      return world.connections[step.connection]?.receiveBody();
     case 'request':
-      world.connections[step.connection]?.head();
-      return world.connections[step.connection]?.body();
+      world.connections[step.connection]?.receiveHead();
+      return world.connections[step.connection]?.receiveBody();
     case 'cancel':
-      return world.connections[step.connection]?.callerLeaves();
+      return world.connections[step.connection]?.disconnectCaller();
     default:
-      return world.endpoint(step.type);
+      return world.applyEndpointStep(step.type);
   }
 }
 
 function findViolations(world: StopWorld): string[] {
   const { closedAtMs = Infinity, stoppedAtMs = 0 } = world;
-  const found = world.exchanges().flatMap((exchange) => violationsOf(world, exchange));
-  if (closedAtMs - stoppedAtMs > LONGEST_STOP_MS) {
-    found.push(`the stop takes ${closedAtMs - stoppedAtMs} ms`);
+  const violations = world.exchanges().flatMap((exchange) => violationsOf(world, exchange));
+  if (closedAtMs - stoppedAtMs > MAX_STOP_MS) {
+    violations.push(`the stop takes ${closedAtMs - stoppedAtMs} ms`);
   }
-  if (world.attempts.some(({ beganAtMs }) => beganAtMs > closedAtMs)) {
-    found.push('an attempt begins after the close');
+  if (world.attempts.some(({ startedAtMs }) => startedAtMs > closedAtMs)) {
+    violations.push('an attempt begins after the close');
   }
-  return found;
+  return violations;
 }
 
 function violationsOf(world: StopWorld, exchange: FakeExchange): string[] {
-  const { id, response, cameBehindLast, arrivedAtMs } = exchange;
+  const { id, response, followsLastAnswer, arrivedAtMs } = exchange;
   const attempts = world.attemptsOf(id);
-  const found: string[] = [];
+  const violations: string[] = [];
   if (response.headCount > 1) {
-    found.push(`${id} is answered twice`);
+    violations.push(`${id} is answered twice`);
   }
-  if (cameBehindLast) {
-    return attempts.length > 0 ? [...found, `${id} runs behind the last answer`] : found;
+  if (followsLastAnswer) {
+    return attempts.length > 0
+      ? [...violations, `${id} runs although it follows the last answer`]
+      : violations;
   }
   const refusesFromMs = (world.stoppedAtMs ?? Infinity) + LIMITS.stopAcceptMs;
   if (arrivedAtMs >= refusesFromMs && attempts.length > 0) {
-    found.push(`${id} is taken after ${LIMITS.stopAcceptMs} ms`);
+    violations.push(`${id} is accepted after ${LIMITS.stopAcceptMs} ms`);
   }
   if (response.status === 503 && attempts.some(({ mayHaveRun }) => mayHaveRun)) {
-    found.push(`${id} is refused although it may have run`);
+    violations.push(`${id} is refused although it may have run`);
   }
   if (world.verdicts.get(id) === 'not-run' && attempts.some(({ mayHaveRun }) => mayHaveRun)) {
-    found.push(`${id} is said not to have run although it may have`);
+    violations.push(`${id} is reported as not-run although it may have run`);
   }
-  if (!hasItsEnd(world, exchange)) {
-    found.push(`${id} ends without an answer`);
+  if (!hasExpectedEnd(world, exchange)) {
+    violations.push(`${id} ends without an answer`);
   }
-  return found;
+  return violations;
 }
 
 /**
- * Its answer went out in whole, or its caller left, or the answer before it, or its own, had begun and was
- * never finished by the endpoint: what began can't be replaced. The rest of a body may be missing.
+ * Whether the exchange ended in a permitted way: its response was sent completely, its caller disconnected, or
+ * the endpoint never completed this response or an earlier one that had already begun and so can't be replaced.
+ * A response that has begun may also remain unfinished while the request's body is incomplete.
  */
-function hasItsEnd(world: StopWorld, exchange: FakeExchange): boolean {
+function hasExpectedEnd(world: StopWorld, exchange: FakeExchange): boolean {
   const { connection, response, message } = exchange;
-  if (response.writableFinished || connection.isCallerGone) {
+  if (response.writableFinished || connection.hasCallerDisconnected) {
     return true;
   }
-  const upToIt = connection.exchanges.slice(0, connection.exchanges.indexOf(exchange) + 1);
-  const isBehindCutOne = upToIt.some(
-    (one) =>
-      !one.response.writableFinished &&
-      one.response.headersSent &&
-      world.attemptsOf(one.id).some(({ stream }) => stream !== undefined && !stream.isWhole),
+  const exchangesUpTo = connection.exchanges.slice(0, connection.exchanges.indexOf(exchange) + 1);
+  const followsTruncatedAnswer = exchangesUpTo.some(
+    (other) =>
+      !other.response.writableFinished &&
+      other.response.headersSent &&
+      world.attemptsOf(other.id).some(({ stream }) => stream !== undefined && !stream.isComplete),
   );
-  return isBehindCutOne || (response.headersSent && !message.complete);
+  return followsTruncatedAnswer || (response.headersSent && !message.complete);
 }
 
-/** Wrong stops, and what each does. */
-export const WRONG_PARTS: readonly (Parts & { readonly name: string })[] = [
+/** Faulty implementations, each named after its fault. */
+export const MUTANTS: readonly (StopBehavior & { readonly name: string })[] = [
   {
-    ...PRODUCT,
+    ...PRODUCTION,
     name: 'closes at the bound without answers',
-    createStop: () => new FilteredStop((effects) => effects.filter((one) => one !== 'give-up')),
+    createStop: () =>
+      new AlteredStop((effects) => effects.filter((effect) => effect !== 'give-up')),
   },
   {
-    ...PRODUCT,
+    ...PRODUCTION,
     name: 'closes while requests are in flight',
     createStop: () =>
-      new FilteredStop(undefined, (event) =>
+      new AlteredStop(undefined, (event) =>
         event.type === 'look' ? { ...event, inFlight: 0 } : event,
       ),
   },
-  { ...PRODUCT, name: 'refuses what was sent', saysUnsent: () => true },
-  { ...PRODUCT, name: 'takes requests to its end', createStop: () => new TakingStop(LIMITS) },
+  { ...PRODUCTION, name: 'refuses requests that were sent', isUnsent: () => true },
+  {
+    ...PRODUCTION,
+    name: 'accepts requests until its end',
+    createStop: () => new AcceptingStop(LIMITS),
+  },
   {
-    ...PRODUCT,
+    ...PRODUCTION,
     name: 'ends late',
     createStop: () => new PlannedStop({ ...LIMITS, stopAnswerMs: LIMITS.stopAnswerMs + 100 }),
   },
 ];
 
-/** A stop that does, or sees, something else than what is decided. */
-class FilteredStop extends PlannedStop {
+/** A stop with altered events or effects. */
+class AlteredStop extends PlannedStop {
   constructor(
-    private readonly filter: (effects: StopEffect[]) => StopEffect[] = (effects) => effects,
-    private readonly seen: (event: StopEvent) => StopEvent = (event) => event,
+    private readonly alterEffects: (effects: StopEffect[]) => StopEffect[] = (effects) => effects,
+    private readonly alterEvent: (event: StopEvent) => StopEvent = (event) => event,
   ) {
     super(LIMITS);
   }
 
   override handle(event: StopEvent, nowMs: number): StopEffect[] {
-    return this.filter(super.handle(this.seen(event), nowMs));
+    return this.alterEffects(super.handle(this.alterEvent(event), nowMs));
   }
 }
 
 /** A stop that refuses nothing. */
-class TakingStop extends PlannedStop {
+class AcceptingStop extends PlannedStop {
   override refusesNewWork(): boolean {
     return false;
   }
--- a/test/proxy/stop/stop-world.ts
+++ b/test/proxy/stop/stop-world.ts
@@ -1,7 +1,6 @@
 /**
- * One node in a planned stop under a virtual clock: the product's decisions (the stop, the callers'
- * server and its connections, requests and their verdicts), with connections, endpoints and peers that
- * do what a script says.
+ * One node in a planned stop under a virtual clock. The production code decides (the stop, the callers'
+ * server and its connections, requests and their verdicts); a script controls connections, endpoints and peers.
  */
 import { EventEmitter } from 'node:events';
 import type { Readable } from 'node:stream';
@@ -36,7 +35,7 @@
 import { VIRTUAL_RELAY, virtualIdentity } from '../virtual-identity.js';
 import { FakeConnection, type FakeExchange, type FakeMessage } from './fake-connection.js';
 
-/** Bounds of the stop, in milliseconds. */
+/** Time limits of the stop, in milliseconds. */
 export const LIMITS = {
   stopNoticeMs: 60,
   stopQuietMs: 40,
@@ -45,41 +44,41 @@
   stopAnswerMs: 250,
   stopCloseMs: 200,
 };
-/** When a stop is over at the latest, in milliseconds since it began. */
-export const LONGEST_STOP_MS = LIMITS.stopTimeoutMs + LIMITS.stopAnswerMs + LIMITS.stopCloseMs;
-/** Time between two looks of the stop, in milliseconds. */
-const LOOK_MS = 20;
-/** Longer than a stop takes: nothing but the stop ends what came before it. */
+/** Maximum duration of a stop, in milliseconds. */
+export const MAX_STOP_MS = LIMITS.stopTimeoutMs + LIMITS.stopAnswerMs + LIMITS.stopCloseMs;
+/** Interval at which the stop checks the requests in flight, in milliseconds. */
+const CHECK_INTERVAL_MS = 20;
+/** Request timeout, longer than a stop: only the stop ends requests that arrived before it. */
 const TIMEOUT_MS = 2_000;
 const CONNECTIONS = 2;
-/** Its statuses promise by themselves that a request has not run. */
-const PROMISING_PROTOCOL = createCallerProtocol('echo');
+/** A protocol in which the status alone guarantees that a request has not run. */
+const NOT_RUN_PROTOCOL = createCallerProtocol('echo');
 
-/** What varies between runs. */
+/** Options that vary between runs. */
 export interface WorldOptions {
   readonly isRelayed: boolean;
   readonly isRepeatable: boolean;
-  /** Time for which peers keep their connections open, in milliseconds. */
+  /** Time for which peers keep their connections open once the node closes them, in milliseconds. */
   readonly peersCloseMs: number;
 }
 
 /** One attempt at the endpoint. */
 export interface FakeAttempt {
   readonly requestId: string;
-  readonly beganAtMs: number;
+  readonly startedAtMs: number;
   readonly observer: AttemptObserver;
   state: 'waiting' | 'sent' | 'answering' | 'over';
-  /** Whether the endpoint got it and has not proved that it did not run. */
+  /** Whether the endpoint received it and has not proved that it did not run. */
   mayHaveRun: boolean;
-  stream?: EventEmitter & { isWhole?: boolean };
+  stream?: EventEmitter & { isComplete?: boolean };
 }
 
-/** The node and all around it. */
+/** The node with its callers, endpoints and peers. */
 export class StopWorld {
   readonly clock = new VirtualScheduler();
   readonly connections: FakeConnection[];
-  /** In the listen backlog: not accepted yet. */
-  readonly waiting: FakeConnection[];
+  /** Connections in the listen backlog, not accepted yet. */
+  readonly backlog: FakeConnection[];
   readonly attempts: FakeAttempt[] = [];
   readonly verdicts = new Map<string, Verdict>();
   readonly violations: string[] = [];
@@ -87,10 +86,10 @@
   stoppedAtMs: number | undefined;
   private isListening = true;
   private readonly runners = new Set<RequestRunner>();
-  /** The callers' sides of exchanges, by the request's id. */
+  /** Responses to callers, by request id. */
   private readonly responses = new Map<string, CallerResponse>();
   private readonly meter = new CallMeter(() => this.clock.nowMs);
-  private readonly heldBytes = new BodyBufferBudget(1_000_000);
+  private readonly bufferBudget = new BodyBufferBudget(1_000_000);
   private readonly snapshot: Snapshot;
   private readonly services: RequestServices;
   private readonly scheduler: Scheduler = {
@@ -101,14 +100,14 @@
   constructor(
     private readonly options: WorldOptions,
     private readonly stop: PlannedStop,
-    private readonly saysUnsent: (attempt: FakeAttempt) => boolean,
+    private readonly isUnsent: (attempt: FakeAttempt) => boolean,
   ) {
     const server = createCallerServer({
       protocol: {
         ...NATIVE_CALLER_PROTOCOL,
         errorAnswer: (error, verdict, requestId) => {
           this.verdicts.set(requestId, verdict);
-          return PROMISING_PROTOCOL.errorAnswer(error, verdict, requestId);
+          return NOT_RUN_PROTOCOL.errorAnswer(error, verdict, requestId);
         },
       },
       limits: DEFAULT_PROXY_LIMITS,
@@ -121,58 +120,59 @@
     const connect = (name: string): FakeConnection =>
       new FakeConnection(server, () => this.clock.nowMs, name);
     this.connections = Array.from({ length: CONNECTIONS }, (_, index) => connect(`c${index}`));
-    this.waiting = [connect('w')];
+    this.backlog = [connect('w')];
     const endpoints = ['e1', 'e2'].map((name, index) =>
       echoEndpoint(name, 1_000 + index, { machine: options.isRelayed ? 'n1' : 'n0' }),
     );
-    const resources = [...echoService(), ...endpoints].map((one) => resourceSchema.parse(one));
+    const resources = [...echoService(), ...endpoints].map((resource) =>
+      resourceSchema.parse(resource),
+    );
     this.snapshot = buildSnapshot(NO_SNAPSHOT_VERSION, resources);
     this.services = this.createServices();
   }
 
-  /** Lets time pass. */
   advance(ms: number): void {
     this.clock.runUntil(this.clock.nowMs + ms);
   }
 
-  /** SIGTERM. */
+  /** Begins the stop, as SIGTERM does. */
   beginStop(): void {
     if (this.stoppedAtMs === undefined) {
       this.stoppedAtMs = this.clock.nowMs;
       this.handleStop({ type: 'stop' });
-      this.lookLater();
+      this.scheduleCheck();
     }
   }
 
   msToNextBound(): number {
-    return Math.min(this.stop.msToNextBound(this.clock.nowMs), LONGEST_STOP_MS);
+    return Math.min(this.stop.msToNextBound(this.clock.nowMs), MAX_STOP_MS);
   }
 
-  /** The system's connections are accepted. */
+  /** Accepts the connections in the listen backlog, and returns their number. */
   accept(): number {
-    const accepted = this.isListening ? this.waiting.splice(0) : [];
+    const accepted = this.isListening ? this.backlog.splice(0) : [];
     this.connections.push(...accepted);
     return accepted.length;
   }
 
-  /** Nothing is heard of the node beside the endpoints. */
-  linkIsSilent(): void {
-    const underWay = this.attempts.filter(({ state }) => state !== 'over');
-    underWay.forEach(({ observer }) => observer.suspected?.({ silent: 'peer' }));
+  /** Reports the node on the endpoints' machine as unresponsive. */
+  suspectPeer(): void {
+    const pending = this.attempts.filter(({ state }) => state !== 'over');
+    pending.forEach(({ observer }) => observer.suspected?.({ silent: 'peer' }));
   }
 
-  /** What the endpoint does with the oldest attempt that it can be done with. */
-  endpoint(step: 'send' | 'answer' | 'begin' | 'finish' | 'break' | 'refuse'): void {
+  /** Applies the step to the oldest attempt in a matching state. */
+  applyEndpointStep(step: 'send' | 'answer' | 'begin' | 'finish' | 'break' | 'refuse'): void {
     const state = { send: 'waiting', finish: 'answering' }[step as string] ?? 'sent';
-    const isMatch = (one: FakeAttempt): boolean =>
-      one.state === state || (step === 'break' && one.state === 'answering');
+    const isMatch = (attempt: FakeAttempt): boolean =>
+      attempt.state === state || (step === 'break' && attempt.state === 'answering');
     const attempt = this.attempts.find(isMatch);
     if (attempt !== undefined) {
-      this.act(attempt, step);
+      this.applyTo(attempt, step);
     }
   }
 
-  /** Every request that was read, on all connections. */
+  /** All requests that were read, on all connections. */
   exchanges(): FakeExchange[] {
     return this.connections.flatMap(({ exchanges }) => exchanges);
   }
@@ -194,7 +194,7 @@
     };
   }
 
-  private act(attempt: FakeAttempt, step: string): void {
+  private applyTo(attempt: FakeAttempt, step: string): void {
     switch (step) {
       case 'send':
         attempt.state = 'sent';
@@ -224,20 +224,20 @@
     const body = {
       kind: 'streamed',
       stream: stream as unknown as Readable,
-      isComplete: () => stream.isWhole === true,
+      isComplete: () => stream.isComplete === true,
     } as const;
     attempt.observer.answered({ ...ANSWER, body });
     stream.emit('data', Buffer.from('part'));
   }
 
-  private endAnswer(attempt: FakeAttempt, isWhole: boolean): void {
+  private endAnswer(attempt: FakeAttempt, isComplete: boolean): void {
     const { stream } = attempt;
     attempt.state = 'over';
     if (stream === undefined) {
-      attempt.observer.failed(new ConnectionLostError('the endpoint broke off'));
+      attempt.observer.failed(new ConnectionLostError('the endpoint closed the connection'));
       return;
     }
-    stream.isWhole = isWhole;
+    stream.isComplete = isComplete;
     stream.emit('close');
   }
 
@@ -247,14 +247,14 @@
     }
   }
 
-  private lookLater(): void {
+  private scheduleCheck(): void {
     if (this.stop.state === 'closed') {
       return;
     }
-    this.after(Math.min(LOOK_MS, this.msToNextBound()), () => {
+    this.after(Math.min(CHECK_INTERVAL_MS, this.msToNextBound()), () => {
       const { inFlight, lastArrivalAtMs } = this.meter;
       this.handleStop({ type: 'look', inFlight, lastArrivalAtMs });
-      this.lookLater();
+      this.scheduleCheck();
     });
   }
 
@@ -278,23 +278,23 @@
         return;
       case 'close-all':
         this.closedAtMs = this.clock.nowMs;
-        this.checkOwed();
+        this.checkUnanswered();
         this.connections.forEach((connection) => connection.destroy());
     }
   }
 
-  /** A connection is closed only when nothing that was read on it is owed an answer. */
-  private checkOwed(): void {
-    for (const { id, connection, response, cameBehindLast } of this.exchanges()) {
-      // An answer that waits for its turn has been given, though Node's response has nothing of it yet.
+  /** Records a violation for every request that was read and is still unanswered when its connection is closed. */
+  private checkUnanswered(): void {
+    for (const { id, connection, response, followsLastAnswer } of this.exchanges()) {
+      // An answer queued behind earlier ones counts as given, although nothing was written to Node's response yet.
       const isAnswered = this.responses.get(id)?.hasBegun() ?? response.headersSent;
-      if (!connection.isClosed && !isAnswered && !cameBehindLast) {
-        this.violations.push(`${id} is owed an answer as its connection is closed`);
+      if (!connection.isClosed && !isAnswered && !followsLastAnswer) {
+        this.violations.push(`${id} is unanswered when its connection is closed`);
       }
     }
   }
 
-  /** As the node does it; what is decided is the product's. */
+  /** Handles a request as the node does; the production code makes the decisions. */
   private handle(request: CallerRequest, response: CallerResponse): void {
     const requestId = (request.message as unknown as FakeMessage).rawHeaders.at(-1) ?? '';
     this.responses.set(requestId, response);
@@ -327,13 +327,13 @@
       return;
     }
     const message = request.message;
-    receiveBody(message, DEFAULT_PROXY_LIMITS, this.heldBytes, (body) => runner.start(body));
+    receiveBody(message, DEFAULT_PROXY_LIMITS, this.bufferBudget, (body) => runner.start(body));
   }
 
   private submit(call: Call, observer: AttemptObserver): Attempt {
     const attempt: FakeAttempt = {
       requestId: call.requestId.replace(/\.\d+$/, ''),
-      beganAtMs: this.clock.nowMs,
+      startedAtMs: this.clock.nowMs,
       observer,
       state: 'waiting',
       mayHaveRun: false,
@@ -343,7 +343,7 @@
       abort: () => {
         attempt.state = 'over';
       },
-      isUnsent: () => this.saysUnsent(attempt),
+      isUnsent: () => this.isUnsent(attempt),
     };
   }
 
@@ -371,7 +371,7 @@
 
 const ANSWER = { status: 200, headers: [], contentLength: undefined, load: undefined };
 
-/** Whether Node counts the connection as idle: it has had a request, and none waits for its answer. */
+/** Whether Node counts the connection as idle: it has received requests, and all have been answered. */
 function isIdle({ exchanges }: FakeConnection): boolean {
   return exchanges.length > 0 && exchanges.every(({ response }) => response.writableFinished);
 }
