--- a/test/proxy/caller-faults.test.ts
+++ b/test/proxy/caller-faults.test.ts
@@ -1,4 +1,4 @@
-/** Fault table at the caller interface: broken, slow and hostile callers. */
+/** Faults at the caller interface: malformed, slow and hostile requests. */
 import net from 'node:net';
 import { expect } from 'chai';
 import {
@@ -15,25 +15,25 @@
 
 const HEAD = 'POST / HTTP/1.1\r\nHost: a\r\n';
 
-/** Bytes that must be answered with `status`, `not-run`, and never reach an endpoint. */
+/** Requests that must be answered with `status` and `not-run`, and never reach an endpoint. */
 const refused: readonly { fault: string; bytes: string; status: number }[] = [
-  { fault: 'no HTTP', bytes: 'EHLO example\r\n\r\n', status: 400 },
-  { fault: 'no host', bytes: 'GET / HTTP/1.1\r\n\r\n', status: 400 },
+  { fault: 'a request that is not HTTP', bytes: 'EHLO example\r\n\r\n', status: 400 },
+  { fault: 'a missing Host header', bytes: 'GET / HTTP/1.1\r\n\r\n', status: 400 },
   { fault: 'HTTP/1.0', bytes: 'GET / HTTP/1.0\r\nHost: a\r\n\r\n', status: 505 },
   {
-    fault: 'two lengths',
+    fault: 'two Content-Length headers',
     bytes: `${HEAD}Content-Length: 1\r\nContent-Length: 2\r\n\r\n12`,
     status: 400,
   },
   {
-    fault: 'length and chunks',
+    fault: 'both Content-Length and chunked encoding',
     bytes: `${HEAD}Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n`,
     status: 400,
   },
   { fault: 'an oversized head', bytes: `${HEAD}A: ${'x'.repeat(40_000)}\r\n\r\n`, status: 431 },
   { fault: 'a control character in a header', bytes: `${HEAD}A: \u0001\r\n\r\n`, status: 400 },
   {
-    fault: 'a target that is no path',
+    fault: 'a target that is not a path',
     bytes: 'GET http://a/ HTTP/1.1\r\nHost: a\r\n\r\n',
     status: 400,
   },
@@ -48,7 +48,7 @@
     status: 400,
   },
   {
-    fault: 'a body that does not come in time',
+    fault: 'a body that does not arrive in time',
     bytes: `${HEAD}x-deadline-ms: 50\r\nContent-Length: 5\r\n\r\n12`,
     status: 408,
   },
@@ -95,7 +95,7 @@
     },
   ];
   for (const { body, bytes } of brokenBodies) {
-    it(`sends no whole request when the caller breaks off: ${body}`, async () => {
+    it(`sends no complete request when the caller disconnects within its body: ${body}`, async () => {
       await callRaw(callerPort, bytes, 20);
       const later = await call(callerPort);
       expect(later.body).to.equal('ran');
@@ -103,7 +103,7 @@
     });
   }
 
-  it('breaks off a chunked body that grows over the limit', async () => {
+  it('aborts a chunked body that exceeds the limit', async () => {
     const result = await call(callerPort, {
       method: 'POST',
       headers: { 'transfer-encoding': 'chunked' },
@@ -113,7 +113,7 @@
     expect(target.heads).to.have.length(0);
   });
 
-  it('asks for a body only once it is expected, and passes it on', async () => {
+  it('sends 100 Continue before the body when the caller expects it, and forwards the body', async () => {
     const text = await callRaw(
       callerPort,
       `${HEAD}Expect: 100-continue\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbody`,
@@ -122,7 +122,7 @@
     expect(target.received[0]).to.match(/\r\n\r\nbody$/);
   });
 
-  it('does not let a malformed request take the place of an earlier answer', async () => {
+  it('does not answer a malformed request before an earlier request', async () => {
     target.close();
     target = await startRawEndpoint((socket) => {
       setTimeout(() => socket.write(rawAnswer('first')), 30);
@@ -132,16 +132,16 @@
     expect(text).to.not.match(/^HTTP\/1.1 400/);
   });
 
-  it('bounds what it holds for a caller that does not read', async () => {
-    const piece = 'x'.repeat(64 * 1024);
+  it('limits the bytes buffered for a caller that does not read', async () => {
+    const chunk = 'x'.repeat(64 * 1024);
     let sentBytes = 0;
     target.close();
     target = await startRawEndpoint((socket) => {
       socket.write('HTTP/1.1 200 OK\r\nContent-Length: 1000000000\r\n\r\n');
       const send = (): void => {
         while (sentBytes < 200_000_000) {
-          sentBytes += piece.length;
-          if (!socket.write(piece)) {
+          sentBytes += chunk.length;
+          if (!socket.write(chunk)) {
             socket.once('drain', send);
             return;
           }
@@ -154,9 +154,9 @@
     caller.pause();
     caller.write('GET / HTTP/1.1\r\nHost: a\r\n\r\n');
     await until(() => sentBytes > 0);
-    let before = -1;
-    while (before !== sentBytes) {
-      before = sentBytes;
+    let previousBytes = -1;
+    while (previousBytes !== sentBytes) {
+      previousBytes = sentBytes;
       await new Promise((resolve) => setTimeout(resolve, 100));
     }
     caller.destroy();
--- a/test/proxy/claim-at-stop.test.ts
+++ b/test/proxy/claim-at-stop.test.ts
@@ -1,7 +1,7 @@
 /**
- * Requests that wait for the claim on their idempotency key when the bound of a planned stop comes.
+ * Requests that wait for the claim on their idempotency key when a planned stop reaches its timeout.
  *
- * They have not started: a stop that gives up only what has started would close their connections without
+ * They have not started: a stop that gives up only started requests would close their connections without
  * an answer.
  */
 import { expect } from 'chai';
@@ -19,13 +19,13 @@
   type RawEndpoint,
 } from './rig.js';
 
-const BOUND_MS = 100;
+const STOP_TIMEOUT_MS = 100;
 const HEADERS = { 'idempotency-key': 'k1', host: 'a' };
 
-describe('a planned stop and a request that waits for its claim', () => {
+describe('a planned stop while a request waits for its claim', () => {
   const mesh = new TestMesh();
   let target: RawEndpoint;
-  let told: string[];
+  let claimCalls: string[];
   let decide: ((outcome: ClaimOutcome) => void) | undefined;
 
   const claims = {
@@ -33,12 +33,12 @@
       new Promise<ClaimOutcome>((resolve) => {
         decide = resolve;
       }),
-    finish: () => void told.push('finish'),
-    release: () => void told.push('release'),
+    finish: () => void claimCalls.push('finish'),
+    release: () => void claimCalls.push('release'),
   };
 
   beforeEach(async () => {
-    told = [];
+    claimCalls = [];
     decide = undefined;
     target = await startRawEndpoint((socket) => socket.write(rawAnswer('ran')));
   });
@@ -49,11 +49,15 @@
     target.close();
   });
 
-  /** Stops the node while the request waits; the claim's outcome comes right after the bound, if at all. */
+  /** Stops the node while the request waits; a given outcome of the claim arrives right after the stop's timeout. */
   async function stopWhileWaiting(
     outcome?: ClaimOutcome,
   ): Promise<{ answer: CallerResult; givenUp: number | undefined }> {
-    const limits = { stopTimeoutMs: BOUND_MS, stopAcceptMs: BOUND_MS / 2, stopAnswerMs: 250 };
+    const limits = {
+      stopTimeoutMs: STOP_TIMEOUT_MS,
+      stopAcceptMs: STOP_TIMEOUT_MS / 2,
+      stopAnswerMs: 250,
+    };
     const node = await mesh.addNode('n1', limits, claims);
     mesh.configure([...echoService(), echoEndpoint('e1', target.port, { machine: 'n1' })]);
     const answering = call(node.callerPort, { method: 'POST', headers: HEADERS, body: 'hi' });
@@ -81,30 +85,30 @@
     expect(headers['retry-after']).to.match(/^[1-9]\d*$/);
   }
 
-  it('refuses it, which is proved not to have run', async () => {
+  it('refuses the request as not-run', async () => {
     const { answer, givenUp } = await stopWhileWaiting();
     expectRefusal(answer);
     expect(givenUp).to.equal(1);
   });
 
-  it('does not run it when its claim is won later, and frees the key', async () => {
+  it('does not run the request when its claim is won later, and releases the key', async () => {
     const { answer } = await stopWhileWaiting();
     expectRefusal(answer);
     decide?.({ outcome: 'won' });
-    await until(() => told.length > 0);
-    expect([told, target.heads]).to.deep.equal([['release'], []]);
+    await until(() => claimCalls.length > 0);
+    expect([claimCalls, target.heads]).to.deep.equal([['release'], []]);
   });
 
-  const outcomes: { outcome: ClaimOutcome; toldThen: string[] }[] = [
-    { outcome: { outcome: 'won' }, toldThen: ['release'] },
-    { outcome: { outcome: 'taken', ran: true }, toldThen: [] },
-    { outcome: { outcome: 'unavailable' }, toldThen: [] },
+  const outcomes: { outcome: ClaimOutcome; expectedCalls: string[] }[] = [
+    { outcome: { outcome: 'won' }, expectedCalls: ['release'] },
+    { outcome: { outcome: 'taken', ran: true }, expectedCalls: [] },
+    { outcome: { outcome: 'unavailable' }, expectedCalls: [] },
   ];
-  for (const { outcome, toldThen } of outcomes) {
-    it(`answers it once when its claim is ${outcome.outcome} while the refusal goes out`, async () => {
+  for (const { outcome, expectedCalls: expectedCalls } of outcomes) {
+    it(`answers the request once when its claim is ${outcome.outcome} while the refusal is sent`, async () => {
       const { answer, givenUp } = await stopWhileWaiting(outcome);
       expectRefusal(answer);
-      expect([givenUp, told, target.heads]).to.deep.equal([1, toldThen, []]);
+      expect([givenUp, claimCalls, target.heads]).to.deep.equal([1, expectedCalls, []]);
     });
   }
 });
--- a/test/proxy/claim-gate.test.ts
+++ b/test/proxy/claim-gate.test.ts
@@ -1,4 +1,4 @@
-/** What the claims and the caller of a request with a key are told, by the outcome of its claim. */
+/** Calls to the claims and replies to the caller of a request with an idempotency key, by the outcome of its claim. */
 import { expect } from 'chai';
 import type { ClaimOutcome } from '../../src/claims/claim-command.js';
 import type { Answer } from '../../src/proxy/call.js';
@@ -14,34 +14,34 @@
 
 const ATTEMPT: ClaimedAttempt = { service: 'payments', key: 'k1', attempt: 'n1-1' };
 
-/** Runs the gate; gives what the claims and the caller were told, in order. */
+/** Runs the gate and returns the calls to the claims and the replies to the caller, in order. */
 async function run(
   outcome: ClaimOutcome,
   after: (reply: CallerReply) => void,
   isCallerGone = false,
 ): Promise<string[]> {
-  const told: string[] = [];
+  const events: string[] = [];
   const claims = {
     open: () => Promise.resolve(outcome),
-    finish: () => void told.push('finish'),
-    release: () => void told.push('release'),
+    finish: () => void events.push('finish'),
+    release: () => void events.push('release'),
   };
   const reply: CallerReply = {
-    answer: () => void told.push('answer'),
-    fail: ({ code }: RequestError, verdict) => void told.push(`${code} ${verdict}`),
+    answer: () => void events.push('answer'),
+    fail: ({ code }: RequestError, verdict) => void events.push(`${code} ${verdict}`),
     hasBegun: () => false,
-    breakConnection: () => void told.push('break'),
+    breakConnection: () => void events.push('break'),
     onClose: (action) => (isCallerGone ? action(false) : undefined),
   };
   await new ClaimGate(claims, ATTEMPT, reply).startWhenClaimed((claimed) => {
-    told.push('start');
+    events.push('start');
     after(claimed);
   });
-  return told;
+  return events;
 }
 
 const observer = { completed: () => undefined, truncated: () => undefined };
-const notRun = new NoEndpointError('no endpoint');
+const noEndpoint = new NoEndpointError('no endpoint');
 const timedOut = new TimedOutError('late');
 
 describe('proxy/claim-gate', () => {
@@ -51,75 +51,75 @@
     outcome: ClaimOutcome;
     after?: (reply: CallerReply) => void;
     isCallerGone?: boolean;
-    told: string[];
+    events: string[];
   }[] = [
     {
-      name: 'an answer means that the key ran',
+      name: 'records the key as run when the request is answered',
       outcome: WON,
       after: (reply) => reply.answer({} as Answer, 'n1-1', 0, observer),
-      told: ['start', 'finish', 'answer'],
+      events: ['start', 'finish', 'answer'],
     },
     {
-      name: 'proof of not run frees the key',
+      name: 'releases the key when the request is proved not to have run',
       outcome: WON,
-      after: (reply) => reply.fail(notRun, 'not-run', 'n1-1'),
-      told: ['start', 'release', 'NO_ENDPOINT not-run'],
+      after: (reply) => reply.fail(noEndpoint, 'not-run', 'n1-1'),
+      events: ['start', 'release', 'NO_ENDPOINT not-run'],
     },
     {
-      name: 'an unknown fate keeps the key',
+      name: 'keeps the key when the request may have run',
       outcome: WON,
       after: (reply) => reply.fail(timedOut, 'may-have-run', 'n1-1'),
-      told: ['start', 'TIMED_OUT may-have-run'],
+      events: ['start', 'TIMED_OUT may-have-run'],
     },
     {
-      name: 'a broken answer keeps the key',
+      name: 'keeps the key when the answer is truncated',
       outcome: WON,
       after: (reply) => reply.breakConnection(),
-      told: ['start', 'break'],
+      events: ['start', 'break'],
     },
     {
-      name: 'a caller that went away meanwhile frees the key',
+      name: 'releases the key when the caller disconnected while the claim was pending',
       outcome: WON,
       isCallerGone: true,
-      told: ['release'],
+      events: ['release'],
     },
     {
-      name: 'a key that ran does not start',
+      name: 'does not start a request whose key has run',
       outcome: { outcome: 'taken', ran: true },
-      told: ['DUPLICATE_REQUEST ran'],
+      events: ['DUPLICATE_REQUEST ran'],
     },
     {
-      name: 'a key that may have run does not start',
+      name: 'does not start a request whose key may have run',
       outcome: { outcome: 'taken', ran: false },
-      told: ['DUPLICATE_REQUEST may-have-run'],
+      events: ['DUPLICATE_REQUEST may-have-run'],
     },
     {
-      name: 'without a majority nothing starts',
+      name: 'does not start a request without a majority',
       outcome: { outcome: 'unavailable' },
-      told: ['CLAIM_UNAVAILABLE not-run'],
+      events: ['CLAIM_UNAVAILABLE not-run'],
     },
   ];
-  for (const { name, outcome, after, isCallerGone, told } of cases) {
+  for (const { name, outcome, after, isCallerGone, events } of cases) {
     it(name, async () => {
-      expect(await run(outcome, after ?? (() => undefined), isCallerGone)).to.deep.equal(told);
+      expect(await run(outcome, after ?? (() => undefined), isCallerGone)).to.deep.equal(events);
     });
   }
 
-  it('is given up once, and only while it waits for its claim and its caller is there', async () => {
-    const told: string[] = [];
+  it('is given up once, and only while its claim is pending and its caller is connected', async () => {
+    const events: string[] = [];
     const claims = {
       open: () => Promise.resolve(WON),
-      finish: () => void told.push('finish'),
-      release: () => void told.push('release'),
+      finish: () => void events.push('finish'),
+      release: () => void events.push('release'),
     };
-    let leave = (): void => undefined;
+    let disconnect = (): void => undefined;
     const reply: CallerReply = {
       answer: () => undefined,
       hasBegun: () => false,
       breakConnection: () => undefined,
-      fail: ({ code }: RequestError, verdict) => void told.push(`${code} ${verdict}`),
+      fail: ({ code }: RequestError, verdict) => void events.push(`${code} ${verdict}`),
       onClose: (action) => {
-        leave = () => action(false);
+        disconnect = () => action(false);
       },
     };
     const gate = (): ClaimGate => new ClaimGate(claims, ATTEMPT, reply);
@@ -129,12 +129,12 @@
       true,
       false,
     ]);
-    const left = gate();
-    leave();
-    expect(left.giveUp(NO_REQUEST_LOG)).to.equal(false);
+    const abandoned = gate();
+    disconnect();
+    expect(abandoned.giveUp(NO_REQUEST_LOG)).to.equal(false);
     const started = gate();
-    await started.startWhenClaimed(() => void told.push('start'));
+    await started.startWhenClaimed(() => void events.push('start'));
     expect(started.giveUp(NO_REQUEST_LOG)).to.equal(false);
-    expect(told).to.deep.equal(['NODE_STOPPING not-run', 'start']);
+    expect(events).to.deep.equal(['NODE_STOPPING not-run', 'start']);
   });
 });
--- a/test/proxy/cut-answer-log.test.ts
+++ b/test/proxy/cut-answer-log.test.ts
@@ -1,4 +1,4 @@
-/** Guards against answers that end with the process without a line of the log. */
+/** Guards against answers that are truncated by the end of the process without a log entry. */
 import net, { type Socket } from 'node:net';
 import { expect } from 'chai';
 import type { RequestDecision } from '../../src/proxy/request-log.js';
@@ -12,7 +12,7 @@
   type RawEndpoint,
 } from './rig.js';
 
-describe('the log of an answer that is cut at the end of a stop', () => {
+describe('the log entry of an answer that is truncated at the end of a stop', () => {
   let mesh: TestMesh;
   let target: RawEndpoint;
   let socket: Socket;
@@ -23,7 +23,7 @@
     target.close();
   });
 
-  it('names the request that its endpoint had answered', async () => {
+  it('is written for the request that its endpoint had answered', async () => {
     const decisions: RequestDecision[] = [];
     mesh = new TestMesh();
     target = await startRawEndpoint((endpoint, head) => {
@@ -41,7 +41,7 @@
     await new Promise((resolve) => setTimeout(resolve, 50));
     node.proxy.abort();
     await until(() => decisions.length === 2);
-    const ends = decisions.map(({ event, endedBy }) => `${event} ${endedBy}`).sort();
-    expect(ends).to.deep.equal(['answer-cut stop-bound', 'request-abandoned stop-bound']);
+    const loggedEnds = decisions.map(({ event, endedBy }) => `${event} ${endedBy}`).sort();
+    expect(loggedEnds).to.deep.equal(['answer-cut stop-bound', 'request-abandoned stop-bound']);
   });
 });
--- a/test/proxy/endpoint-choice.test.ts
+++ b/test/proxy/endpoint-choice.test.ts
@@ -1,33 +1,33 @@
-/** Which endpoint a request tries next, and when it turns late; no clock and no endpoint is run. */
+/** Which endpoint a request tries next, and when it becomes late; runs without a clock and endpoints. */
 import { expect } from 'chai';
 import { resourceSchema, type Endpoint } from '../../src/model/resource.js';
 import { EndpointChoice, type FindEndpoint } from '../../src/proxy/endpoint-choice.js';
 import { echoEndpoint } from './rig.js';
 
 const TARGET_AT_MS = 1_100;
-const IN_TIME_MS = 1_000;
+const BEFORE_TARGET_MS = 1_000;
 
 describe('choice of an endpoint for a request', () => {
-  it('goes on to endpoints that were not tried, while there is time', () => {
+  it('chooses endpoints that were not tried, before the target', () => {
     const { choice, next, lateTurns } = choiceAmong(['one', 'two']);
-    expect(next(IN_TIME_MS)).to.equal('one');
+    expect(next(BEFORE_TARGET_MS)).to.equal('one');
     choice.markTried('one');
-    expect(next(IN_TIME_MS)).to.equal('two');
+    expect(next(BEFORE_TARGET_MS)).to.equal('two');
     expect(choice.isLate).to.equal(false);
     expect(lateTurns()).to.equal(0);
   });
 
-  it('turns late once no endpoint is left, and asks those that refused again', () => {
+  it('becomes late once no untried endpoint is left, and retries endpoints that refused', () => {
     const { choice, next, lateTurns } = choiceAmong(['broken', 'full']);
     choice.markTried('broken');
     choice.markTried('full');
     choice.markRefused('full');
-    expect(next(IN_TIME_MS)).to.equal('full');
+    expect(next(BEFORE_TARGET_MS)).to.equal('full');
     expect(choice.isLate).to.equal(true);
     expect(lateTurns()).to.equal(1);
   });
 
-  it('does not ask an endpoint that was tried late a second time', () => {
+  it('does not retry an endpoint that was already tried late', () => {
     const { choice, next, lateTurns } = choiceAmong(['full']);
     choice.markTried('full');
     choice.markRefused('full');
@@ -39,7 +39,7 @@
     expect(lateTurns()).to.equal(1);
   });
 
-  it('turns late at the target, not before', () => {
+  it('becomes late at the target, not before', () => {
     const { choice } = choiceAmong([]);
     choice.checkTarget(TARGET_AT_MS - 1);
     expect(choice.isLate).to.equal(false);
@@ -47,7 +47,7 @@
     expect(choice.isLate).to.equal(true);
   });
 
-  it('turns late earlier by the least time that any node told', () => {
+  it('becomes late earlier by the shortest service time that any node reported', () => {
     const { choice } = choiceAmong([]);
     choice.recordServiceMs(40);
     choice.recordServiceMs(30);
@@ -58,17 +58,17 @@
     expect(choice.isLate).to.equal(true);
   });
 
-  it('tells the finder whether the work is late', () => {
-    const asked: boolean[] = [];
+  it('passes to the finder whether the request is late', () => {
+    const receivedLateFlags: boolean[] = [];
     const choice = new EndpointChoice(TARGET_AT_MS, () => undefined);
-    choice.next(IN_TIME_MS, (_tried, isLate) => {
-      asked.push(isLate);
+    choice.next(BEFORE_TARGET_MS, (_tried, isLate) => {
+      receivedLateFlags.push(isLate);
       return undefined;
     });
-    expect(asked).to.deep.equal([false, true]);
+    expect(receivedLateFlags).to.deep.equal([false, true]);
   });
 
-  it('never turns late without a target', () => {
+  it('never becomes late without a target', () => {
     const { choice, next, lateTurns } = choiceAmong(['full'], false);
     choice.markTried('full');
     choice.markRefused('full');
@@ -78,15 +78,15 @@
   });
 });
 
-interface TriedChoice {
+interface ChoiceUnderTest {
   readonly choice: EndpointChoice;
-  /** The name of the endpoint that is chosen. */
+  /** Returns the name of the chosen endpoint. */
   readonly next: (nowMs: number) => string | undefined;
   readonly lateTurns: () => number;
 }
 
-/** A choice that takes the first untried endpoint. */
-function choiceAmong(names: string[], hasTarget = true): TriedChoice {
+/** Creates a choice whose finder returns the first untried endpoint. */
+function choiceAmong(names: string[], hasTarget = true): ChoiceUnderTest {
   const endpoints = names.map((name) => resourceSchema.parse(echoEndpoint(name, 1)) as Endpoint);
   const find: FindEndpoint = (tried) => endpoints.find(({ name }) => !tried.has(name));
   let turns = 0;
