--- a/test/proxy/claim-at-stop.test.ts
+++ b/test/proxy/claim-at-stop.test.ts
@@ -104,7 +104,7 @@
     { outcome: { outcome: 'taken', ran: true }, expectedCalls: [] },
     { outcome: { outcome: 'unavailable' }, expectedCalls: [] },
   ];
-  for (const { outcome, expectedCalls: expectedCalls } of outcomes) {
+  for (const { outcome, expectedCalls } of outcomes) {
     it(`answers the request once when its claim is ${outcome.outcome} while the refusal is sent`, async () => {
       const { answer, givenUp } = await stopWhileWaiting(outcome);
       expectRefusal(answer);
--- a/test/proxy/stop/fake-connection.ts
+++ b/test/proxy/stop/fake-connection.ts
@@ -94,11 +94,9 @@
     this.destroy();
   }
 
-  /** Whether all responses before this one, but not this one, have been sent. */
+  /** Whether this is the first response that has not been sent yet. */
   isNextToSend(response: FakeResponse): boolean {
-    return (
-      this.exchanges.find((exchange) => !exchange.response.writableFinished)?.response === response
-    );
+    return this.exchanges.find((next) => !next.response.writableFinished)?.response === response;
   }
 
   destroy(): void {
