--- a/test/peers/source-world.ts
+++ b/test/peers/source-world.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet of {@link SourceChoice} under a virtual clock: a store with faults, feeds, gossip and kills.
- * A node's state is reduced to the revision up to which it is complete.
+ * Simulates a fleet of {@link SourceChoice} with a virtual clock, store faults, feeds, gossip and node failures.
+ * A node's state is modelled as the revision up to which it is complete.
  */
 import { PeerMonitor } from '../../src/peers/peer-monitor.js';
 import { ReaderOrder } from '../../src/peers/reader-order.js';
@@ -9,7 +9,7 @@
 const STEP_MS = 20;
 const TICK_MS = 160;
 const WATCH_WAIT_MS = 600;
-const SILENT_STORE_MS = 1_800;
+const STORE_TIMEOUT_MS = 1_800;
 const BACK_OFF_MS = 600;
 const MAX_FOLLOWERS = 16;
 
@@ -24,7 +24,7 @@
   isReading: boolean;
   isAlive: boolean;
   revision: number;
-  /** When the call that is under way began; undefined while none is. */
+  /** When the pending call to the store began; undefined if there is none. */
   calledAtMs: number | undefined;
   nextCallAtMs: number;
   readonly followers: Set<FleetNode>;
@@ -37,7 +37,6 @@
   readonly random: () => number;
 }
 
-/** The fleet. */
 export class SourceWorld {
   readonly nodes: FleetNode[] = [];
   revision = 1;
@@ -52,16 +51,16 @@
       const address = `10.1.${Math.floor(idx / 250)}.${idx % 250}`;
       this.add(address, `zone-${idx % params.zones}`);
     }
-    this.nodes.forEach((node) => this.place(node));
+    this.nodes.forEach((node) => this.setPosition(node));
   }
 
-  /** Readers among the nodes that live. */
+  /** Readers among the running nodes. */
   get readers(): FleetNode[] {
     return this.nodes.filter(({ isAlive, isReading }) => isAlive && isReading);
   }
 
-  /** Nodes that live and lack the newest revision. */
-  get behind(): number {
+  /** Number of running nodes that lack the newest revision. */
+  get outdatedCount(): number {
     return this.nodes.filter(({ isAlive, revision }) => isAlive && revision < this.revision).length;
   }
 
@@ -73,17 +72,17 @@
     }
   }
 
-  /** Writes to the store; runs until all know, or `limitMs` are over; gives the time that it took. */
+  /** Writes to the store and runs until all nodes have the change or `limitMs` have passed; returns the time. */
   change(limitMs: number): number {
     this.revision += 1;
     const startMs = this.nowMs;
-    while (this.behind > 0 && this.nowMs - startMs < limitMs) {
+    while (this.outdatedCount > 0 && this.nowMs - startMs < limitMs) {
       this.run(STEP_MS);
     }
     return this.nowMs - startMs;
   }
 
-  /** Kills nodes. Their feeds end at once, or say nothing more (`dark`). */
+  /** Kills nodes. Their feeds end at once (`reset`) or become unresponsive (`dark`). */
   kill(nodes: readonly FleetNode[], how: 'reset' | 'dark'): void {
     for (const node of nodes) {
       node.isAlive = false;
@@ -94,12 +93,12 @@
     }
   }
 
-  /** Starts killed nodes anew. */
+  /** Restarts killed nodes. */
   revive(nodes: readonly FleetNode[]): void {
     for (const node of nodes) {
       Object.assign(node, this.freshState(node.address));
       node.followers.clear();
-      this.place(node);
+      this.setPosition(node);
     }
   }
 
@@ -122,8 +121,8 @@
     this.byAddress.set(address, node);
   }
 
-  private place(node: FleetNode): void {
-    node.choice.setPlace(new ReaderOrder(node).placeAmong(this.nodes));
+  private setPosition(node: FleetNode): void {
+    node.choice.setPosition(new ReaderOrder(node).positionAmong(this.nodes));
     node.monitor.setPeers(this.nodes.filter((one) => one !== node).map(({ address }) => address));
   }
 
@@ -155,7 +154,7 @@
         node.choice.storeAnswered(this.nowMs);
         this.learn(node, this.revision, true);
       }
-    } else if (state === 'refuses' || waitedMs >= SILENT_STORE_MS) {
+    } else if (state === 'refuses' || waitedMs >= STORE_TIMEOUT_MS) {
       node.calledAtMs = undefined;
       node.nextCallAtMs = this.nowMs + BACK_OFF_MS * (0.5 + this.params.random());
       this.execute(node, node.choice.storeFailed(this.nowMs));
@@ -163,15 +162,15 @@
   }
 
   private learn(node: FleetNode, revision: number, isConfirmed: boolean): void {
-    const isNews = isConfirmed || node.revision < revision;
+    const shouldForward = isConfirmed || node.revision < revision;
     node.revision = Math.max(node.revision, revision);
-    if (!isNews) {
+    if (!shouldForward) {
       return;
     }
     const freshness = node.choice.freshness(this.nowMs);
     for (const follower of node.followers) {
       if (follower.isAlive) {
-        const confirms = follower.choice.feedHeard(node.address, freshness, this.nowMs);
+        const confirms = follower.choice.feedMessageReceived(node.address, freshness, this.nowMs);
         this.learn(follower, node.revision, confirms);
       }
     }
@@ -200,7 +199,7 @@
       ageMs: node.choice.freshness(this.nowMs).ageMs,
       suspicionDigest: 0,
     });
-    to.choice.peerHeard(from.address, own(from).ageMs, this.nowMs);
+    to.choice.recordPeerAge(from.address, own(from).ageMs, this.nowMs);
     to.monitor.receive(
       from.address,
       { kind: 'acknowledgement', ...own(from) },
@@ -227,7 +226,7 @@
     }
   }
 
-  /** A peer that is dead says nothing, one that is full refuses. */
+  /** A killed peer does not answer, and one with too many followers refuses. */
   private follow(node: FleetNode, peer: FleetNode | undefined): void {
     if (peer?.isAlive !== true) {
       return;
@@ -239,7 +238,7 @@
     node.follows = peer;
     peer.followers.add(node);
     const freshness = peer.choice.freshness(this.nowMs);
-    const isConfirmed = node.choice.feedHeard(peer.address, freshness, this.nowMs);
+    const isConfirmed = node.choice.feedMessageReceived(peer.address, freshness, this.nowMs);
     this.learn(node, peer.revision, isConfirmed);
   }
 
