--- a/test/proxy/expired-waiting.test.ts
+++ b/test/proxy/expired-waiting.test.ts
@@ -1,6 +1,6 @@
 /**
- * A request that waits for a slot until shortly before its deadline: the log of the node beside the
- * endpoint has a line for its refusal, as for every other one.
+ * A request that waits for a slot until shortly before its deadline: the node on the endpoint's machine logs
+ * its refusal, like every other refusal.
  */
 import { expect } from 'chai';
 import { resourceSchema, type Endpoint } from '../../src/model/resource.js';
@@ -15,7 +15,7 @@
 const DEADLINE_MS = 100;
 
 /** An endpoint that never answers. */
-const SILENT: EndpointConnector = {
+const UNRESPONSIVE_ENDPOINT: EndpointConnector = {
   send: () => ({ wasSent: () => true, abort: () => undefined }),
   cancel: () => undefined,
   probeDraining: () => undefined,
@@ -39,15 +39,15 @@
 }
 
 describe('a request that waits until shortly before its deadline', () => {
-  it('has a line in the log of the node that refused it', async () => {
-    const lines: RequestDecision[] = [];
+  it('is logged by the node that refuses it', async () => {
+    const decisions: RequestDecision[] = [];
     const gate = new EndpointGate(resourceSchema.parse(echoEndpoint('e1', 1)) as Endpoint, 1, {
-      client: SILENT,
+      client: UNRESPONSIVE_ENDPOINT,
       counters: { add: () => undefined },
       scheduler: MACHINE_TIME,
       maxQueuedPerEndpoint: 10,
       cancelLead: { cancelLeadShare: 0.1, maxCancelLeadMs: 10 },
-      requestLog: { record: (line) => lines.push(line) },
+      requestLog: { record: (line) => decisions.push(line) },
       logStateChange: () => undefined,
     });
     const codes: string[] = [];
@@ -60,7 +60,7 @@
     await until(() => codes.length > 0);
     running.abort();
     expect(codes).to.deep.equal(['CANNOT_FINISH_IN_TIME']);
-    const { deadlineLeftMs = NaN, startLeftMs = NaN, ...line } = lines[0] ?? {};
+    const { deadlineLeftMs = NaN, startLeftMs = NaN, ...line } = decisions[0] ?? {};
     expect(line).to.deep.equal({
       event: 'attempt-refused',
       request: 'waiting',
