--- a/test/proxy/request-lifecycle-model.test.ts
+++ b/test/proxy/request-lifecycle-model.test.ts
@@ -20,7 +20,7 @@
 const final: RequestFailure = { code: 'FINAL', verdict: 'not-run', retryable: false };
 const lost: RequestFailure = { code: 'LOST', verdict: 'may-have-run', retryable: true };
 const brokenAnswer: RequestFailure = { code: 'SPOILED', verdict: 'may-have-run', retryable: true };
-const errorAnswer: RequestFailure = { code: 'FAULT', verdict: 'may-have-run', retryable: true };
+const fault: RequestFailure = { code: 'FAULT', verdict: 'may-have-run', retryable: true };
 const noEndpoint: RequestFailure = { code: 'NO_ENDPOINT', verdict: 'not-run', retryable: false };
 const withheld: RequestFailure = { code: 'CONTAINED', verdict: 'not-run', retryable: false };
 const late: RequestFailure = { code: 'LATE', verdict: 'may-have-run', retryable: false };
@@ -170,7 +170,7 @@
 }
 
 function attemptSteps(model: ModelState, state: AttemptState, attempt: number): Step[] {
-  const { suspicionCounts: suspicions } = model;
+  const { suspicionCounts } = model;
   const canReplay = canReplayBody(model);
   const failed = (failure: RequestFailure): Step => ({
     type: 'failed',
@@ -179,7 +179,7 @@
     canReplay,
   });
   const suspicionSteps: Step[] =
-    (suspicions[attempt - 1] ?? 0) < MAX_SUSPICIONS
+    (suspicionCounts[attempt - 1] ?? 0) < MAX_SUSPICIONS
       ? [
           {
             type: 'suspected',
@@ -199,7 +199,7 @@
         ...suspicionSteps,
       ];
     case 'sent': {
-      const faults: Step[] = canReplay ? [{ type: 'answered', attempt, fault: errorAnswer }] : [];
+      const faults: Step[] = canReplay ? [{ type: 'answered', attempt, fault }] : [];
       return [
         { type: 'answered', attempt },
         ...faults,
