--- a/test/fuzz/control-plane.test.ts
+++ b/test/fuzz/control-plane.test.ts
@@ -88,7 +88,7 @@
     fault: 'reads on after its lease has ended',
     invariants: ['reader-bound'],
     apply: () => {
-      const undoClose = patch(SourceReader, 'closeWhenLost', () => () => undefined);
+      const undoClose = patch(SourceReader, 'closeIfLeaseLost', () => () => undefined);
       const undoEnd = patch(
         SourceReader,
         'readableUntilMs',
@@ -107,7 +107,7 @@
   {
     fault: 'grants leases that others hold',
     invariants: ['reader-bound'],
-    apply: () => patch(Elector, 'refusal', () => () => undefined),
+    apply: () => patch(Elector, 'retryDelayMs', () => () => undefined),
   },
   {
     fault: 'takes no machine list from its peers',
